--- a/src/relay/CallProtocol.h
+++ b/src/relay/CallProtocol.h
@@ -1,6 +1,7 @@
-// How the relay's requests and answers are written on the wire, in words of the relay.
+// Encoding and decoding of the relay's requests and responses.
 //
-// The relay decides what a request is to say; an adapter that implements this interface knows which header says it.
+// The relay works with the decoded fields below; an implementation of this interface maps them to the headers of its
+// wire protocol.
 #pragma once
 
 #include "http/HttpHeaders.h"
@@ -15,84 +16,85 @@
 
 namespace lupinknot::internal {
 
-// What a caller's request says, once decoded.
+// Decoded fields of a caller's request.
 struct CallerFields {
-    // Names this attempt of the caller; empty when absent.
+    // Identifies this attempt of the caller; empty when absent.
     std::string requestId;
-    // How long the caller will wait, from the moment it sent the request.
+    // How long the caller waits for the response, from the moment it sent the request.
     std::optional<Milliseconds> patience;
     std::string apiKey;
-    // The last event that a returning caller has; absent for a stream from its start.
+    // Id of the last event that a reconnecting caller has received; absent for a stream from its start.
     std::optional<std::uint64_t> lastEventId;
-    // Names the part of the prompt that belongs to this caller's request alone, the same at each of its attempts; empty
-    // when unknown.
+    // Identifies the part of the prompt that is specific to this caller's request, the same at each of its attempts;
+    // empty when unknown.
     std::string promptId;
-    // Tokens of the prompt, 0 when unknown.
+    // Number of tokens in the prompt, 0 when unknown.
     std::uint32_t promptTokens { 0 };
-    // Most tokens of the answer, 0 when unknown.
+    // Upper limit of tokens in the answer, 0 when unknown.
     std::uint32_t maxAnswerTokens { 0 };
-    // Names the field that cannot be read, empty when all can.
+    // Name of the field that cannot be parsed, empty when all can.
     std::string malformedField;
 };
 
-// Where an engine finds the memory of a run that it continues.
+// Where an engine finds the memory of a run that it resumes.
 struct CopySource {
-    // For a copy that grew beside the run, the engine that holds it; for a run that was moved, the one it left.
+    // The engine that holds the memory: for a copy made while the run went on, the engine that received it; for a run
+    // that was moved, its previous engine.
     SocketAddress engine;
-    // The request whose run was copied, or the handle that the move gave.
+    // Id of the request whose run was copied, or the handle that the engine returned for a move.
     std::string name;
 };
 
-// What an engine answers to a wish to move a run.
+// An engine's response to a request to move a run.
 struct MoveRunAnswer {
-    // True when the target holds the run's memory.
+    // True when the target engine has received the run's memory.
     bool isCopied { false };
-    // Names the memory for the run that continues; empty when there is none.
+    // Identifies the memory for the run that resumes from it; empty when there is none.
     std::string handle;
 };
 
-// What the relay tells an endpoint beside the caller's own header.
+// Fields that the relay adds to a request when it forwards it to an endpoint.
 struct ForwardFields {
     Milliseconds timeLeft { 0 };
-    // The incarnation of the endpoint; any other one at that address turns the request away.
+    // Id of the endpoint's incarnation (one process start); another incarnation at that address rejects the request.
     std::string endpointId;
     // Empty on public routes.
     std::string organisation;
     std::optional<std::uint64_t> lastEventId;
-    // Engine that is to receive a growing copy of the run's memory.
+    // Engine that receives a live copy of the run's memory, updated while the run goes on.
     std::optional<SocketAddress> copyTo;
     std::optional<CopySource> continueFrom;
 };
 
-// What an endpoint's answer says of the requests a second that it takes from all VMs together.
+// Limit of requests per second from all VMs together, as an endpoint's response states it.
 struct AnsweredLimit {
-    // Nothing when the answer names no limit, or none that can be read.
+    // Nothing when the response contains no limit, or one that cannot be parsed.
     std::optional<double> perSecond;
-    // What stands there and cannot be read; empty when all can.
+    // The value that cannot be parsed; empty when there is none.
     std::string unreadable;
 };
 
-// How long an endpoint that rejects a request wants no further one from this VM.
+// Back-off that an endpoint asks this VM for when it rejects a request.
 struct AnsweredRest {
-    // Nothing when the answer asks for no rest, or its time cannot be read.
+    // Nothing when the response asks for no back-off, or its time cannot be parsed.
     std::optional<Milliseconds> time;
-    // The value that cannot be read; empty when there is none.
+    // The value that cannot be parsed; empty when there is none.
     std::string unreadable;
 };
 
-// What an endpoint's answer says, once decoded.
+// Decoded fields of an endpoint's response.
 struct AnswerFields {
-    // The request that the answer belongs to; empty when it does not say.
+    // Id of the request that the response belongs to; empty when the response does not contain it.
     std::string requestId;
-    // True when the endpoint vouches for the answer by its signature.
+    // True when the response carries the endpoint's signature.
     bool isSigned { false };
-    // True when the endpoint says that it did not run the request.
+    // True when the endpoint states that it did not run the request.
     bool isNotRun { false };
-    // True when the address belongs to another incarnation than the one that was asked for.
+    // True when the address belongs to another incarnation than the one that the request was meant for.
     bool isOtherEndpoint { false };
     AnsweredLimit limit {};
     AnsweredRest rest {};
-    // True when the endpoint says that it is about to end.
+    // True when the endpoint announces that it is shutting down.
     bool isLeaving { false };
 };
 
@@ -101,20 +103,20 @@
 public:
     virtual ~CallProtocol() = default;
     virtual CallerFields decodeCaller(const HttpHeaders&) const = 0;
-    // The whole request for an endpoint; what callers may not set themselves is taken out.
+    // Builds the complete request for an endpoint, without the headers that callers may not set themselves.
     virtual HttpRequest encodeForward(const HttpRequest& callerRequest, const ForwardFields&) const = 0;
     virtual AnswerFields decodeAnswer(const HttpResponse& head) const = 0;
-    // Asks an engine for its state; any answer proves that it lives.
+    // Queries the state of an engine; any response proves that it is alive.
     virtual HttpRequest encodeStateQuery() const = 0;
-    // Asks an engine for its load, on a connection that may be kept.
+    // Queries the load of an engine, on a connection that may be kept alive.
     virtual HttpRequest encodeLoadQuery() const = 0;
-    // Nothing when the answer is no report that can be read.
+    // Nothing when the response is not a valid load report.
     virtual std::optional<EngineReport> decodeLoad(const HttpResponse&) const = 0;
-    // Has an engine copy a run's memory to another one, and stop the run first where that is wanted.
+    // Asks an engine to copy a run's memory to another engine, and to stop the run first if so requested.
     virtual HttpRequest encodeMoveRun(
         const std::string& requestId, const SocketAddress& target, bool stopsRun) const = 0;
     virtual MoveRunAnswer decodeMoveRun(const HttpResponse&) const = 0;
-    // Tells a caller when to come back, to the millisecond where the protocol can.
+    // Header that tells a caller when to retry, with millisecond precision where the protocol supports it.
     virtual HttpHeader encodeRetryAfter(Milliseconds) const = 0;
 };
 
--- a/src/relay/EndpointCall.cpp
+++ b/src/relay/EndpointCall.cpp
@@ -73,7 +73,7 @@
 {
     const auto fields = m_context.protocol.decodeAnswer(head);
     const auto now = m_context.now();
-    // Other bytes and other starts of the endpoint say nothing of it.
+    // Unsigned bytes and responses of another process at the address say nothing about this endpoint.
     const bool isItsOwn = (fields.isSigned || fields.isNotRun) && !fields.isOtherEndpoint;
     if (isItsOwn)
         m_endpoint->noteSignals(fields, now);
@@ -112,7 +112,7 @@
     m_hadSent = true;
     end();
     m_endpoint->noteLife(m_context.now());
-    // The connection becomes idle after this callback, if it does.
+    // The connection becomes idle, if at all, only after this callback returns.
     boost::asio::post(m_context.ioContext, [&context = m_context, endpoint = m_endpoint, connection = m_connection] {
         endpoint->giveBack(connection, context.now());
     });
--- a/src/relay/EndpointCall.h
+++ b/src/relay/EndpointCall.h
@@ -1,11 +1,11 @@
-// One sending of a request to one endpoint, and the answer to it.
+// A request sent to one endpoint, and the response to it.
 //
-// An answer that names another request is skipped: endpoints sometimes answer twice, and the extra answer takes the
-// place of the next one on the connection.
+// A response with another request id is skipped: an endpoint may send a duplicate response, which then arrives in place
+// of the response to the next request on the connection.
 //
 //     auto call = EndpointCall::start(context, endpoint, request, options, listener);
 //     ...                                  // listener->callHead(), callBody(), then callEnded() or callFailed()
-//     call->cancel();                      // Stops the endpoint's work by closing the connection.
+//     call->cancel();                      // Closes the connection, which makes the endpoint stop its work.
 //
 // Used on the relay's thread only. Owned by its user; holds the listener weakly.
 #pragma once
@@ -27,13 +27,13 @@
     virtual void callHead(EndpointCall&, const HttpResponse& head, const AnswerFields&) = 0;
     virtual void callBody(EndpointCall&, std::string_view piece) = 0;
     virtual void callEnded(EndpointCall&) = 0;
-    // The endpoint may have run the request unless the kind of failure proves that it did not start.
+    // The endpoint may have run the request unless the kind of failure proves that it did not start it.
     virtual void callFailed(EndpointCall&, FailureKind) = 0;
 };
 
 struct EndpointCallOptions {
     std::string requestId;
-    // Longest rest of a kept connection that may carry the call; zero opens a new one.
+    // Longest idle time of a kept-alive connection that may carry the call; zero opens a new connection.
     Milliseconds maxRest { 0 };
 };
 
--- a/src/relay/EventSplitter.h
+++ b/src/relay/EventSplitter.h
@@ -1,8 +1,8 @@
-// Splits a stream of server-sent events into whole events without changing a byte of them.
+// Splits a stream of server-sent events into complete events without changing any byte of them.
 //
 //     splitter.feed("id: 4\ndata: a\n\nid: 5\nda", events);     // One event, with id 4 and all its bytes.
 //
-// Bytes that carry no id, such as comments, go with the event after them. Not thread-safe.
+// Blocks without an id, such as comments, are passed on together with the event after them. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -19,20 +19,20 @@
 
 class EventSplitter {
 public:
-    // An event may not be larger than this, in bytes.
+    // Maximum size of an event, in bytes.
     static constexpr std::size_t maxEventBytes = 1 << 20;
 
-    // Appends the events that the piece completes. Returns false when an event is too large or its id is no number.
+    // Appends the events that this piece completes. Returns false when an event is too large or its id is not a number.
     bool feed(std::string_view piece, std::vector<WholeEvent>& events);
-    // Bytes of an event that is not whole.
+    // Bytes of the incomplete last event.
     const std::string& rest() const { return m_pending; }
 
 private:
-    // Takes one block that ends with an empty line. Returns false when its id is no number.
+    // Processes one block that ends with an empty line. Returns false when its id is not a number.
     bool takeBlock(std::size_t end, std::vector<WholeEvent>& events);
 
     std::string m_pending;
-    // Where the block that is not whole begins; before it lie blocks without an id.
+    // Offset of the incomplete block; blocks without an id may precede it.
     std::size_t m_blockStart { 0 };
     std::size_t m_lineStart { 0 };
 };
--- a/src/relay/EventStreamCall.cpp
+++ b/src/relay/EventStreamCall.cpp
@@ -51,7 +51,7 @@
 
 void EventStreamCall::begin()
 {
-    // Weak, because the watch's own timer may outlive this call by a turn.
+    // Weak, because the callbacks of the watch's timer may still run once after this call is destroyed.
     const auto guarded = [weak = weak_from_this()](void (EventStreamCall::*action)()) {
         return [weak, action] {
             if (const auto self = weak.lock(); self && !self->m_isFinished)
@@ -106,7 +106,7 @@
 
 void EventStreamCall::held() { giveUp(refusalAfter(AttemptVerdict::Held, m_possibleRuns)); }
 
-// A run that makes events does not end its engine, whatever others of the same request have done.
+// A run that produces events evidently does not crash its engine, whatever other runs of the request have done.
 void EventStreamCall::heldMeanwhile()
 {
     if (!m_run || !m_run->hasEvent)
@@ -312,7 +312,8 @@
         settleWholeAnswer(run);
         return;
     }
-    // A run that is stopped to be moved closes its connection, which ends an unframed answer without being its end.
+    // An engine that stops a run to move it closes the connection. For a response without a length that looks like its
+    // end.
     if (!run->isFramed && m_mover->isStopping())
         return;
     if (!run->splitter.rest().empty() || m_answer->length() == 0) {
@@ -322,7 +323,7 @@
     complete();
 }
 
-// The engine answered with something other than a stream.
+// Handles a response that is not an event stream.
 void EventStreamCall::settleWholeAnswer(const std::shared_ptr<StreamRun>& run)
 {
     if (run->fields.isNotRun || run->fields.isOtherEndpoint) {
@@ -361,7 +362,7 @@
 {
     if (!m_run || m_run->call.get() != &call || m_isFinished)
         return;
-    // A run that is being moved ends its stream; the answer to the move says how to go on.
+    // A run that is being moved closes its stream; the response to the move request determines how to continue.
     if (!m_mover->isStopping())
         runLost(kind);
 }
@@ -394,7 +395,7 @@
                           : settings.avoidAfterRefusal));
     m_context.directory.noteFailure(*run->endpoint, now);
     m_choice->noteFailed(run->endpoint);
-    // A run is copied from its first event on: before it there is nothing to ask for.
+    // A run's memory is copied from its first event on, so before that no copy exists.
     m_choice->setCopy(run->hasEvent ? copyHolderOf(*run, m_context.directory) : nullptr, m_request.fields.requestId);
     m_lossAt = m_lossAt.value_or(now);
     startRun();
@@ -462,7 +463,7 @@
 {
     logEnd(traitsOf(reason).name, traitsOf(reason).status);
     std::optional<Milliseconds> comeBackIn;
-    // To come back within the same time would end no better.
+    // A retry with the same time left would fail as well.
     if (reason == RefusalReason::TooLittleTime)
         comeBackIn = std::max(m_request.deadline - m_context.now(), m_context.settings.retryAfter);
     if (reason == RefusalReason::HeldBack)
--- a/src/relay/EventStreamCall.h
+++ b/src/relay/EventStreamCall.h
@@ -1,12 +1,12 @@
-// Serves a request that is answered by a stream of events, over as many engines as it takes.
+// Serves a request that is answered by a stream of events, using one engine after another where engines fail.
 //
-// The events belong to the answer (Generation), a run is one attempt of it at one engine. When the engine of the
-// present run fails or falls silent, a new run goes on behind the last whole event, with the head of the first one. An
-// engine that can copies the run's memory to a second engine in another availability zone while it grows; the new run
-// then begins there and reads only what the copy lacks.
+// The events belong to the answer (Generation); a run is one attempt to produce them at one engine. When the engine of
+// the current run fails or stops sending, a new run resumes after the last complete event, and the caller keeps the
+// head of the first run. An engine that supports it copies the run's memory to a second engine in another availability
+// zone while the run goes on; the new run then starts there and processes only what the copy lacks.
 //
-// A stream that must not run twice is not moved once an engine may have begun it.
-// Used on the relay's thread only. Owned by its pending timers and the exchange's callback.
+// A stream that must not run twice is not moved once an engine may have started it. Used on the relay's thread only.
+// Owned by its pending timers and the exchange's callback.
 #pragma once
 
 #include "relay/CrashWatch.h"
@@ -41,17 +41,18 @@
 private:
     EventStreamCall(RelayContext&, RelayRequest);
     void begin();
-    // Starts a run somewhere, or waits for an endpoint, or gives the request up.
+    // Starts a run at an available engine, waits for one, or gives up.
     void startRun();
-    // Starts a run at the endpoint, or elsewhere if it is limited and no permit is to be had.
+    // Starts a run at the endpoint, or at another one if it is rate-limited and grants no permit.
     void startRunAt(const std::shared_ptr<RelayEndpoint>&, std::optional<CopySource>);
     void sendTo(const std::shared_ptr<RelayEndpoint>&, std::optional<CopySource>);
-    // Null where there is none.
+    // The engine is null when none is available.
     void engineChosen(const std::shared_ptr<RelayEndpoint>&);
     void waitForEndpoint();
     void startRunLater();
     bool mayStartRun();
-    // False when the request is held back, which ends it, or may be soon, which it waits for.
+    // Returns false when the request is quarantined, which ends the call, or may be soon, in which case the call waits
+    // for the decision.
     bool isSendable();
 
     void takeEvents(StreamRun&, std::vector<WholeEvent>&&);
@@ -63,7 +64,7 @@
     void held();
     void heldMeanwhile();
 
-    // Moves the run ahead if it lacks a copy and a move is worth it.
+    // Moves the run preventively if no engine holds a copy of it and a move is worth its cost.
     void considerMove();
     void moved(const RunMove&);
 
@@ -82,18 +83,18 @@
     const std::shared_ptr<EngineChoice> m_choice;
     const std::shared_ptr<StreamAnswer> m_answer;
     std::shared_ptr<StreamRun> m_run;
-    // Null before the call begins.
+    // Set by begin().
     std::shared_ptr<RunWatch> m_watch;
-    // Set while a permit is asked for.
+    // Set while a permit request is pending.
     std::shared_ptr<PermitWait> m_permit;
-    // Null before the call begins.
+    // Set by begin().
     std::unique_ptr<RunMover> m_mover;
-    // Runs that an engine may have begun.
+    // Number of runs that an engine may have started.
     unsigned m_possibleRuns { 0 };
     unsigned m_sendings { 0 };
-    // Sendings that may have reached an engine: what follows one of them is a retry.
+    // Number of requests that may have reached an engine; any further one counts as a retry.
     unsigned m_arrivals { 0 };
-    // A retry has been taken for the next run.
+    // True when the retry budget has already been charged for the next run.
     bool m_isNextCharged { false };
     std::optional<Milliseconds> m_lossAt;
     bool m_isFinished { false };
--- a/src/relay/RelayConfiguration.cpp
+++ b/src/relay/RelayConfiguration.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Host names compare without regard to case, and a port does not belong to the name.
+// Host names are case-insensitive, and a port is not part of the name.
 std::string normalizedHost(std::string_view host)
 {
     std::string name(host.substr(0, host.find(':')));
@@ -23,7 +23,7 @@
     const auto routes = m_routesByHost.find(normalizedHost(host));
     if (routes == m_routesByHost.end())
         return nullptr;
-    // Prefixes end with a slash, so only the path's own slashes can end one.
+    // Prefixes end with a slash, so only the slashes of the path are candidates.
     std::string prefix(path);
     for (auto slash = prefix.rfind('/'); slash != std::string::npos; slash = prefix.rfind('/')) {
         prefix.resize(slash + 1);
--- a/src/relay/RelayConfiguration.h
+++ b/src/relay/RelayConfiguration.h
@@ -5,7 +5,7 @@
 //     auto configuration = builder.build();
 //     configuration->findRoute("a.example", "/captions/4");
 //
-// Immutable and shared: a request keeps the version that it was admitted under.
+// Immutable and shared: a request keeps the version under which it was admitted.
 #pragma once
 
 #include "http/HttpServerSettings.h"
@@ -19,13 +19,13 @@
 class RelayConfiguration {
 public:
     std::uint64_t version() const { return m_version; }
-    // The route of the host with the longest prefix that begins the path, or null.
+    // The host's route with the longest prefix of the path, or null.
     std::shared_ptr<const Route> findRoute(std::string_view host, std::string_view path) const;
-    // The organisation that holds the key, or null.
+    // The organisation to which the API key belongs, or null.
     const std::string* findOrganisation(const std::string& key) const;
-    // The terms of the service, or null.
+    // The service's configuration, or null.
     const ServiceTerms* findService(const std::string& name) const;
-    // True when every route wants a key, but for the public ones.
+    // True when all routes but the public ones require an API key.
     bool hasOrganisations() const { return m_hasOrganisations; }
     std::size_t routeCount() const { return m_routeCount; }
     const HttpServerSettings& callerLimits() const { return m_callerLimits; }
@@ -50,11 +50,11 @@
     RelayConfigurationBuilder& version(std::uint64_t);
     RelayConfigurationBuilder& addRoute(Route);
     RelayConfigurationBuilder& addService(ServiceTerms);
-    // From here on requests need a key, also when no organisation has one.
+    // Makes requests require an API key, even if no organisation has one.
     RelayConfigurationBuilder& requireKeys();
     RelayConfigurationBuilder& addKey(std::string key, std::string organisation);
     RelayConfigurationBuilder& callerLimits(const HttpServerSettings&);
-    // Leaves the builder empty.
+    // Returns the configuration and leaves the builder empty.
     std::shared_ptr<const RelayConfiguration> build();
 
 private:
--- a/src/relay/RelayContext.h
+++ b/src/relay/RelayContext.h
@@ -1,4 +1,4 @@
-// What every request of the relay uses. Lives for the process; used on the relay's thread only.
+// State and collaborators shared by all requests of the relay. Lives for the process; used on the relay's thread only.
 #pragma once
 
 #include "admission/WaitingRoom.h"
@@ -33,18 +33,18 @@
     Placement& placement;
     RelayMetrics& metrics;
     CrashGuard& crashGuard;
-    // Where permits for endpoints under a limit come from.
+    // Source of permits for rate-limited endpoints.
     PermitSource* permits;
-    // The newest version; null until one is known.
+    // The newest configuration; null until one is known.
     std::shared_ptr<const RelayConfiguration> configuration;
     std::unordered_map<std::string, RetryBudget> retryBudgets;
     std::unordered_map<std::string, ServicePace> paces;
-    // Null where VMs tell each other nothing.
+    // Null when VMs do not exchange the locations of their runs.
     RunLocations* runLocations { nullptr };
     bool isStopping { false };
-    // Orders to move a service's traffic to another version.
+    // Orders to shift a service's traffic to another version.
     Rollouts rollouts {};
-    // Requests that wait, for news or for a place.
+    // Requests that wait for the configuration, for endpoints or for capacity.
     WaitingRoom waitingRoom {};
 
     Milliseconds now() const { return clock.now(); }
--- a/src/relay/RelayDaemon.cpp
+++ b/src/relay/RelayDaemon.cpp
@@ -13,9 +13,9 @@
 
 constexpr unsigned okStatus = 200;
 constexpr unsigned notReadyStatus = 503;
-// Pause between two looks at what is still under way while stopping.
+// Interval between checks for unfinished requests during the shutdown.
 constexpr Milliseconds stopInterval { 50 };
-// Pause between two rounds of housekeeping: expired endpoints and gauges.
+// Interval between housekeeping runs: removal of expired endpoints, update of gauges.
 constexpr Milliseconds tickInterval { 500 };
 
 } // namespace
@@ -107,7 +107,7 @@
 
 bool RelayDaemon::beginRollout(const RolloutOrder& order)
 {
-    // A VM that has just started may have spent its share already.
+    // A VM that has just started may have spent its share already, in its previous process.
     const auto share = m_clock.now() < m_settings.retrySlackFrom ? 0.0 : m_settings.retrySlackShare;
     return m_context.rollouts.begin(order, { m_settings.exposureLimit, share, m_settings.vmName });
 }
@@ -140,7 +140,7 @@
     });
 }
 
-// Callers keep coming until the balancer has noticed, and what has begun is finished.
+// Callers keep sending requests until the load balancer has noticed the shutdown; requests in progress are finished.
 void RelayDaemon::requestStop()
 {
     if (m_stopRequestedAt)
--- a/src/relay/RelayDaemon.h
+++ b/src/relay/RelayDaemon.h
@@ -1,12 +1,12 @@
-// The relay as a process: listeners, what it believes, and its stop.
+// The relay process: its listeners, shared state and shutdown.
 //
 //     RelayDaemon daemon(settings, { front, ready, metrics }, protocol);
-//     daemon.applyConfiguration(configuration);        // From the adapter that hears of it.
+//     daemon.applyConfiguration(configuration);        // Called by the adapter that receives configurations.
 //     daemon.directory().replaceAll(entries, now);
-//     daemon.run();                                    // Until it has stopped.
+//     daemon.run();                                    // Returns when the shutdown is complete.
 //
-// One thread runs everything but the writing of the log: a VM has a quarter of a core, and each wake-up of a further
-// thread costs more than it brings (docs/PLATFORM.md). Calls come from that thread only.
+// One thread runs everything except log writing: a VM has a quarter of a core, and waking a further thread costs more
+// than it gains (docs/PLATFORM.md). All calls come from that thread.
 #pragma once
 
 #include "http/HttpServer.h"
@@ -25,9 +25,9 @@
 namespace lupinknot::internal {
 
 struct RelayAddresses {
-    // Where callers come in.
+    // Listener for callers.
     SocketAddress front;
-    // Where the balancer asks whether this VM is ready.
+    // Listener for the load balancer's readiness checks.
     SocketAddress ready;
     SocketAddress metrics;
 };
@@ -39,51 +39,52 @@
     RelayDaemon(const RelayDaemon&) = delete;
     RelayDaemon& operator=(const RelayDaemon&) = delete;
 
-    // Binds the listeners. Returns what went wrong, or nothing.
+    // Binds the listeners. Returns an error message, or nothing.
     std::optional<std::string> start();
-    // Runs until a stop is complete.
+    // Runs until the shutdown is complete.
     void run();
 
     boost::asio::io_context& ioContext() { return m_ioContext; }
     EndpointDirectory& directory() { return m_directory; }
-    // The source of the list of endpoints has come back from an older copy of itself.
+    // Reports that the source of the endpoint list was restored from an older copy of itself.
     void listRestored();
-    // Where VMs tell each other of their runs; it outlives the daemon's run.
+    // Sets the store through which VMs share the locations of their runs; it must outlive run().
     void setRunLocations(RunLocations* locations) { m_context.runLocations = locations; }
-    // Where permits for endpoints under a limit come from; it outlives the daemon's run. Without one this VM counts for
-    // itself alone.
+    // Sets the source of permits for rate-limited endpoints; it must outlive run(). Without one, this VM counts its own
+    // requests only.
     void setPermits(PermitSource* permits) { m_context.permits = permits; }
-    // Which requests are held back because endpoints have ended under them.
+    // Decides which requests are quarantined because endpoints crashed while running them.
     CrashGuard& crashGuard() { return m_crashGuard; }
-    // Puts other limits, times and weights in force, for requests under way too. What is known of other VMs stays.
+    // Replaces limits, times and weights, also for requests in progress. The settings that depend on the number of VMs
+    // and on the start time stay as they are.
     void changeSettings(const RelaySettings&);
-    // How many VMs share the retry budget.
+    // Sets the number of VMs that share the retry budget.
     void setVmCount(std::size_t count) { m_settings.retrySlackShare = 1.0 / static_cast<double>(count); }
-    // Takes no share of that budget's fixed number for the time and a window more: others do not count this VM until
-    // then, or the process before this one has spent it.
+    // Takes no share of the retry budget's fixed number for the given time and one window more: until then the other
+    // VMs do not count this VM, or the previous process of this VM may have spent the share.
     void delayRetrySlack(Milliseconds time)
     {
         m_settings.retrySlackFrom = m_clock.now() + time + m_settings.retryWindow;
     }
     Rollouts& rollouts() { return m_context.rollouts; }
-    // Takes part in a roll-out from here on. Returns whether the order is new.
+    // Starts to take part in a roll-out. Returns whether the order is new.
     bool beginRollout(const RolloutOrder&);
     const Clock& clock() const { return m_clock; }
-    // Puts a configuration in force unless it is older than the present one. Returns whether it did.
+    // Applies a configuration unless it is older than the current one. Returns whether it was applied.
     bool applyConfiguration(std::shared_ptr<const RelayConfiguration>);
     const std::shared_ptr<const RelayConfiguration>& configuration() const { return m_context.configuration; }
-    // The port that callers reach, also when the settings asked for any (0).
+    // The port that callers connect to, also when the settings asked for any port (0).
     unsigned short frontPort() const { return m_front.port(); }
-    // Requests that wait, for news or for a place at an endpoint.
+    // Number of requests that wait for the configuration, for endpoints or for capacity.
     std::size_t waitingCount() const { return m_context.waitingRoom.count(); }
-    // What to do when the settings file may have changed.
+    // Sets the callback for a reload request (SIGHUP): the settings file may have changed.
     void onReload(std::function<void()> callback) { m_onReload = std::move(callback); }
-    // Called once when a stop begins.
+    // Sets the callback that is called once when the shutdown begins.
     void onStopping(std::function<void()> callback) { m_onStopping = std::move(callback); }
     void requestStop();
 
 private:
-    // True when this VM wants callers.
+    // True when this VM accepts requests from callers.
     bool isReady() const;
     void answerReadiness(const std::shared_ptr<HttpExchange>&);
     void answerMetrics(const std::shared_ptr<HttpExchange>&);
--- a/src/relay/RelayHandler.cpp
+++ b/src/relay/RelayHandler.cpp
@@ -19,7 +19,8 @@
 
 namespace {
 
-// The service of a route with several: by weight, and the same one whenever the same request is looked at.
+// Chooses one of a route's services by weight. The choice depends on the request id only, so a repeated look-up of a
+// request yields the same service.
 const std::string& chooseService(const Route& route, const std::string& requestId)
 {
     std::uint64_t total = 0;
--- a/src/relay/RelayHandler.h
+++ b/src/relay/RelayHandler.h
@@ -1,8 +1,7 @@
-// Admits a caller's request: finds its route and organisation, and starts to serve it.
+// Admits a caller's request: determines its route and organisation, and starts the call that serves it.
 //
-// A request that comes before the VM knows its configuration and its endpoints waits for them a short while; see
-// admission/StartupWait.
-// Used on the relay's thread only.
+// A request that arrives before the VM has its configuration and its endpoints waits for a short time; see
+// admission/StartupWait. Used on the relay's thread only.
 #pragma once
 
 #include "relay/RelayRefusal.h"
@@ -18,13 +17,13 @@
 public:
     explicit RelayHandler(RelayContext&);
     void handle(const std::shared_ptr<HttpExchange>&);
-    // The VM has learned its configuration or its endpoints: what waits for them is looked at again.
+    // Processes the waiting requests again, after the VM received its configuration or its endpoints.
     void newsArrived() { m_startupQueue.release(); }
 
 private:
     void decide(const StartupQueue::Request&);
     void serve(const StartupQueue::Request&);
-    // The reason to refuse the request, or nothing when it was completed with its terms.
+    // Completes the request with its route, service and deadline. Returns the reason to refuse it, if there is one.
     std::optional<RefusalReason> admit(RelayRequest&) const;
     void refuse(const RelayRequest&, RefusalReason);
 
--- a/src/relay/RelayMetrics.cpp
+++ b/src/relay/RelayMetrics.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Milliseconds; the objectives of today lie between 100 and 4500.
+// In milliseconds. The routes' objectives lie between 100 and 4500.
 const prometheus::Histogram::BucketBoundaries durationBounds { 10, 25, 50, 75, 100, 150, 250, 500, 1000, 2500, 5000,
     10000 };
 const prometheus::Histogram::BucketBoundaries gapBounds { 50, 100, 200, 300, 400, 500, 600, 700, 1000, 2000, 5000 };
--- a/src/relay/RelayMetrics.h
+++ b/src/relay/RelayMetrics.h
@@ -14,7 +14,7 @@
 
 namespace lupinknot::internal {
 
-// Thread-safe. Members are set up once and refer into the registry.
+// Thread-safe. The references are initialised once and point into the registry.
 class RelayMetrics {
 public:
     RelayMetrics();
@@ -30,17 +30,17 @@
     prometheus::Family<prometheus::Histogram>& m_durations;
 
 public:
-    // Streams that went on at another engine from a copy of their memory, or by reading the prompt again.
+    // Streams that resumed at another engine from a copy of their memory, or by processing the prompt again.
     prometheus::Counter& resumedFromCopy;
     prometheus::Counter& resumedCold;
-    // Milliseconds from a stream's last event before a loss to the first one after it.
+    // Time from a stream's last event before a failure to the first one after it, in milliseconds.
     prometheus::Histogram& resumeGap;
     prometheus::Counter& engineProbes;
     prometheus::Gauge& configurationVersion;
     prometheus::Gauge& endpointsKnown;
-    // Lists of endpoints that came from an older copy of their source.
+    // Endpoint lists that came from an older copy of their source.
     prometheus::Counter& listsRestored;
-    // Permits for endpoints under a limit.
+    // Permits for rate-limited endpoints.
     prometheus::Counter& permitsGranted;
     prometheus::Counter& permitsDenied;
 };
--- a/src/relay/RelayRefusal.h
+++ b/src/relay/RelayRefusal.h
@@ -1,4 +1,4 @@
-// The relay's own answers: refusals and failures, in one place.
+// Responses that the relay creates itself: refusals and failures.
 #pragma once
 
 #include "admission/RefusalReason.h"
@@ -11,19 +11,20 @@
 
 struct RelayContext;
 
-// One row of the table of what each reason tells the caller.
+// What a caller is told for one reason.
 struct RefusalTraits {
     RefusalReason reason;
     std::string_view name;
     unsigned status;
-    // True when the request has not run and will not: the caller may come back, and is told when.
+    // True when the request has not run and will not: the caller may retry, and is told when.
     bool isNotRun;
     std::string_view message;
 };
 
 const RefusalTraits& traitsOf(RefusalReason);
 
-// The answer for a reason; one that has not run says when to come back: after the time given, or the usual one.
+// Creates the response for a reason. With status 503 it contains the time after which to retry: the given one, or the
+// default from the settings.
 HttpResponse refusal(const RelayContext&, RefusalReason, std::optional<Milliseconds> comeBackIn = std::nullopt);
 
 } // namespace lupinknot::internal
--- a/src/relay/RelayRequest.h
+++ b/src/relay/RelayRequest.h
@@ -1,4 +1,4 @@
-// One admitted request: what the caller asked for and the terms it is served on. Lives for the request.
+// An admitted request: the caller's fields, its route and its deadline. Lives for the request.
 #pragma once
 
 #include "http/HttpExchange.h"
@@ -16,11 +16,11 @@
     std::string service;
     // Empty on public routes.
     std::string organisation;
-    // What it asks for, the same at each attempt of its caller (digestOf).
+    // Identifies the content of the request, the same at each attempt of its caller (digestOf).
     std::string digest;
     std::uint64_t configurationVersion { 0 };
     Milliseconds admittedAt { 0 };
-    // When the caller, or the route, gives the request up.
+    // When the caller, or the route's timeout, gives up the request.
     Milliseconds deadline { 0 };
 };
 
--- a/src/relay/RequestKind.h
+++ b/src/relay/RequestKind.h
@@ -1,4 +1,4 @@
-// Kinds of requests that a route carries.
+// Kinds of requests that a route accepts.
 #pragma once
 
 #include "lupinknot/EnumNames.h"
--- a/src/relay/Route.h
+++ b/src/relay/Route.h
@@ -1,5 +1,5 @@
-// A route: which requests go to which services, and the terms on which they are served. Lives for one version of the
-// configuration.
+// A route: which requests go to which services, and the limits and objectives that apply to them. Lives for one version
+// of the configuration.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -9,7 +9,7 @@
 
 namespace lupinknot::internal {
 
-// One of the services that share a route's requests.
+// One of the services among which a route's requests are divided.
 struct ServiceShare {
     std::string service;
     std::uint32_t weight { 1 };
@@ -21,17 +21,17 @@
     // Begins and ends with a slash.
     std::string pathPrefix;
     RequestKind kind { RequestKind::NonIdempotent };
-    // Longest time that a request may be held.
+    // Longest time from a request's arrival to its complete answer.
     Milliseconds timeout { 30000 };
-    // Time in which an answer, or a stream's first event, should be there.
+    // Target time for the answer, or for a stream's first event.
     Milliseconds objective { 1000 };
-    // Longest pause between two events of a stream that callers take as in time.
+    // Longest pause between two events of a stream that still meets the route's objective.
     Milliseconds longestPause { 1000 };
-    // Endpoints that one request may be sent to.
+    // Maximum number of endpoints that one request may be sent to.
     unsigned maxAttempts { 1 };
-    // True when callers need no key.
+    // True when callers need no API key.
     bool isPublic { false };
-    // True when a stream may go on at another endpoint.
+    // True when a stream may resume at another endpoint.
     bool isResumable { false };
     std::vector<ServiceShare> services;
 
--- a/src/relay/ServiceTerms.h
+++ b/src/relay/ServiceTerms.h
@@ -1,4 +1,4 @@
-// What the configuration says of one service. Lives for one version of the configuration.
+// Configuration of one service. Lives for one version of the configuration.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,13 @@
 
 struct ServiceTerms {
     std::string name;
-    // Connections that one endpoint accepts from all VMs together.
+    // Maximum number of connections that one endpoint accepts from all VMs together.
     std::uint32_t maxConnections { 0 };
-    // True for model engines that can send a running request's memory to another engine while it grows.
+    // True for model engines that can copy a running request's memory to another engine while it grows.
     bool copiesRunningMemory { false };
-    // True for model engines: they can be asked for their load.
+    // True for model engines, which can be asked for their load.
     bool isEngine { false };
-    // Tokens that one event of a stream holds, 0 when unknown.
+    // Number of tokens in one event of a stream, 0 when unknown.
     std::uint32_t tokensPerEvent { 0 };
 };
 
--- a/src/relay/StreamAnswer.cpp
+++ b/src/relay/StreamAnswer.cpp
@@ -12,7 +12,7 @@
 
 namespace lupinknot::internal {
 
-// Hands the events on to the caller's connection as it takes them.
+// Passes the events to the caller's connection as it asks for them.
 class StreamAnswer::Source final : public HttpBodySource {
 public:
     explicit Source(std::shared_ptr<const StreamAnswer> answer)
--- a/src/relay/StreamAnswer.h
+++ b/src/relay/StreamAnswer.h
@@ -1,11 +1,11 @@
-// The answer of one stream as far as it has come, and its way to the caller.
+// The part of a stream's answer that has been received so far, and its transfer to the caller.
 //
-// Its events come from one run after the other; an event that does not follow the last one is not taken. The caller's
-// connection takes events when it can.
+// Successive runs contribute events; an event that does not follow the last one is rejected. The caller's connection
+// reads the events as fast as it can send them.
 //
 //     const auto answer = StreamAnswer::make(request);
 //     run->number = answer->beginRun();
-//     if (!answer->append(*run, std::move(events))) ...       // The run is of no use any more.
+//     if (!answer->append(*run, std::move(events))) ...       // The run sent a wrong event; abandon it.
 //     answer->handOn(run->head, now);
 //
 // Used on the relay's thread only. Owned by the stream's call and by the caller's connection.
@@ -26,30 +26,30 @@
 
 class StreamAnswer : public std::enable_shared_from_this<StreamAnswer> {
 public:
-    // The request outlives the call that owns the answer.
+    // The request must outlive the answer.
     static std::shared_ptr<StreamAnswer> make(const RelayRequest&);
 
-    // Events of earlier runs are not taken from here on.
+    // Starts a run; events of earlier runs are rejected from now on.
     AttemptNumber beginRun() { return m_events.beginAttempt(); }
-    // False when an event of the run does not follow the last one.
+    // Returns false when an event of the run does not follow the last one.
     bool append(const StreamRun&, std::vector<WholeEvent>&&);
-    // Lets the caller have what has come; the first time with the head.
+    // Passes the received events to the caller; the first call also sends the head.
     void handOn(const HttpResponse& head, Milliseconds now);
-    // The last event has come.
+    // Marks the answer as complete.
     void complete() { m_isComplete = true; }
 
-    // True once the caller's answer has begun.
+    // True once the response to the caller has started.
     bool hasBegun() const { return m_hasBegun; }
     bool isComplete() const { return m_isComplete; }
-    // Events that came in this call.
+    // Number of events received in this call.
     std::size_t length() const { return m_events.length(); }
-    // That the caller has, or will have.
+    // Id of the last event that the caller has received or will receive.
     std::uint64_t lastEventId() const { return m_firstPosition + m_events.length(); }
-    // Nothing before the first event.
+    // Time of the last event; nothing before the first one.
     std::optional<Milliseconds> lastEventAt() const { return m_lastEventAt; }
-    // From the first event to the last one.
+    // Time from the first event to the last one.
     Milliseconds duration() const { return m_lastEventAt.value_or(m_firstEventAt) - m_firstEventAt; }
-    // How long it will probably go on, from its pace so far and the most events that it may hold (0: unknown).
+    // Estimated time until the last event, from the average rate so far and the maximum number of events (0: unknown).
     Milliseconds expectedRest(std::int64_t mostEvents, Milliseconds now) const;
 
 private:
@@ -58,7 +58,7 @@
     explicit StreamAnswer(const RelayRequest&);
 
     const RelayRequest& m_request;
-    // Events that the caller had before.
+    // Number of events that the caller had received before this call.
     const std::uint64_t m_firstPosition;
     Generation m_events;
     Milliseconds m_firstEventAt { 0 };
--- a/src/relay/StreamLog.h
+++ b/src/relay/StreamLog.h
@@ -1,4 +1,4 @@
-// The lines of the log on a stream's runs; docs/LOGS.md lists their fields.
+// Log events about a stream's runs; docs/LOGS.md lists their fields.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -17,11 +17,12 @@
 void logFirstEvent(const RelayRequest&, const StreamRun&, Milliseconds now);
 void logRunTurnedAway(const RelayRequest&, const StreamRun&);
 void logRunLost(const RelayRequest&, const StreamRun&, const StreamAnswer&, FailureKind, Milliseconds now);
-// The last event before the loss came at the first instant, if there was one; the loss was noticed at the second.
+// lastEventAt is the time of the last event before the failure, if there was one; lossAt is when the failure was
+// detected.
 void logRunResumed(const RelayRequest&, const StreamRun&, std::optional<Milliseconds> lastEventAt, Milliseconds lossAt,
     Milliseconds now);
 void logRunMoved(const RelayRequest&, const RunMove&, const StreamAnswer&);
-// A status of 0 stands for a stream that was broken off.
+// A status of 0 stands for a stream that was aborted after it had started.
 void logStreamDone(const RelayRequest&, const StreamAnswer&, std::string_view outcome, unsigned status,
     unsigned sendings, Milliseconds took);
 
--- a/src/relay/StreamPace.cpp
+++ b/src/relay/StreamPace.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// A request is given up beforehand only if it could not end in time though all went as fast as one time in twenty.
+// A request is refused in advance only if it would miss its deadline even with the fastest 5% of the measured times.
 constexpr double fastestShare = 0.05;
 
 } // namespace
@@ -68,12 +68,13 @@
     const auto withHead = pace.sendsHeadsEarly() ? RunBeginning::Hidden : RunBeginning::Begun;
     const auto withoutEvent = run.begunAt ? withHead : withoutHead;
     const auto since = run.firstEventAt.value_or(run.begunAt.value_or(run.startedAt));
-    // A break is a sign of the engine, silence is none.
+    // A broken connection shows that the engine was alive until then; silence does not.
     const auto lastSign = kind == FailureKind::Silent ? std::max(since, run.lastActivity) : now;
     return { kind, run.hasEvent ? RunBeginning::Producing : withoutEvent, lastSign - since };
 }
 
-// Only whole prompts of a first sending show how fast engines read: others may find parts of theirs kept.
+// Only the first attempt from the start of a stream shows how fast engines process prompts; for others the engine may
+// have parts of the prompt cached.
 void StreamPace::notePromptRead(const StreamRun& run, Milliseconds now)
 {
     const auto tokens = m_request.fields.promptTokens;
--- a/src/relay/StreamPace.h
+++ b/src/relay/StreamPace.h
@@ -1,9 +1,9 @@
-// What one stream shows of its service's pace, and whether that pace leaves it enough time.
+// Records the timing of one stream for its service's statistics, and checks whether the stream can finish in time.
 //
 //     StreamPace pace(context, request);
-//     if (pace.lacksTime(lastEventId, isPromptKept)) ...      // Refuse it before it runs into its deadline.
-//     pace.notePromptRead(run, now);                          // Its first event has come.
-//     pace.noteWholeAnswer(lastEventId, events, time);        // It is complete.
+//     if (pace.lacksTime(lastEventId, isPromptKept)) ...      // Refuse it; it cannot meet its deadline.
+//     pace.notePromptRead(run, now);                          // The first event has arrived.
+//     pace.noteWholeAnswer(lastEventId, events, time);        // The stream is complete.
 //
 // Used on the relay's thread only. The context and the request outlive it.
 #pragma once
@@ -22,18 +22,18 @@
 public:
     StreamPace(RelayContext&, const RelayRequest&);
 
-    // The most events that the whole answer may have; 0 when unknown.
+    // Maximum number of events of the whole answer; 0 when unknown.
     std::int64_t mostEvents() const;
-    // True when no engine can finish the stream in the time that is left, because most of it is gone already. Nothing
-    // has to be read where an engine has kept the prompt.
+    // True when too little time is left for any engine to finish the stream before its deadline. Processing the prompt
+    // takes no time where an engine still holds it in its cache.
     bool lacksTime(std::uint64_t lastEventId, bool isPromptKept) const;
 
-    // The first event of a run has come: how long after its head shows whether engines send heads early.
+    // Records the time between a run's head and its first event, which shows whether engines send heads early.
     void noteFirstEvent(const StreamRun&, Milliseconds now);
-    // What a run shows that its engine did not finish.
+    // Describes a run that its engine did not finish.
     UnfinishedRun unfinishedRun(const StreamRun&, FailureKind, Milliseconds now);
     void notePromptRead(const StreamRun&, Milliseconds now);
-    // The time is that from the first of the events to the last one.
+    // The time is measured from the first of the events to the last one.
     void noteWholeAnswer(std::uint64_t lastEventId, std::size_t events, Milliseconds time);
 
 private:
--- a/src/relay/StreamRun.h
+++ b/src/relay/StreamRun.h
@@ -1,6 +1,6 @@
 // One attempt of a stream at one engine.
 //
-// Lives as long as the stream's call takes it for the present run, or a callback of it holds it. Used on the relay's
+// Shared by the stream's call, while this is its current run, and by pending callbacks of the run. Used on the relay's
 // thread only.
 #pragma once
 
@@ -21,25 +21,25 @@
     AttemptNumber number { 0 };
     std::shared_ptr<EndpointCall> call;
     std::shared_ptr<RelayEndpoint> endpoint;
-    // The engine that receives a growing copy, if any.
+    // The engine that receives a live copy of the run's memory, if any.
     std::shared_ptr<RelayEndpoint> copyHolder;
     HttpResponse head;
     AnswerFields fields;
     EventSplitter splitter;
-    // Set as long as the engine reads the prompt.
+    // Set while the engine processes the prompt.
     std::unique_ptr<ReadingMark> reading;
     Milliseconds startedAt { 0 };
-    // When the head of its answer came: the engine has begun it. Nothing as long as none has.
+    // When the response head arrived, which shows that the engine has started the run; nothing before that.
     std::optional<Milliseconds> begunAt;
     std::optional<Milliseconds> firstEventAt;
-    // When it was sent, or its last event came.
+    // Time of the last event, or of sending the request if there was none.
     Milliseconds lastActivity { 0 };
     bool isStream { false };
-    // True when the answer says where it ends; one that does not ends with its connection.
+    // True when the response has a length or is chunked; otherwise it ends when the connection closes.
     bool isFramed { false };
     bool hasEvent { false };
     bool isFromCopy { false };
-    // A retry was taken for it.
+    // The retry budget was charged for this run.
     bool isCharged { false };
 };
 
--- a/src/relay/WholeAnswerCall.cpp
+++ b/src/relay/WholeAnswerCall.cpp
@@ -100,7 +100,7 @@
     const auto now = m_context.now();
     auto other = soundEndpoint();
     other.limited = LimitedEndpoints::LeftOut;
-    // Where another endpoint can serve the call at once, it does not wait for its place at this one.
+    // If another endpoint can serve the call at once, it does not wait for its send slot at this one.
     const bool waits = mayWait() && !m_context.placement.choose(other, now);
     const auto patience = waits ? timeToWait(waitingCall(), now) : Milliseconds { 0 };
     m_permit = PermitWait::start(
@@ -168,12 +168,12 @@
 
 void WholeAnswerCall::hedge()
 {
-    // A second endpoint must not end under a request that may have ended the first ones.
+    // Do not risk a second endpoint with a request that may have crashed the earlier ones.
     if (!hasOpenAttempt() || m_possibleRuns >= m_request.route->maxAttempts || m_crashWatch.isSuspect())
         return;
     if (!m_context.retryBudget(m_request.service).take(RetryPurpose::Precaution, m_request.admittedAt, m_context.now()))
         return;
-    // An endpoint in need is spared what is only a precaution.
+    // A hedge is only a precaution, so it is not sent to a rate-limited endpoint.
     auto wanted = anyEndpoint();
     wanted.limited = LimitedEndpoints::LeftOut;
     if (!sendNext(wanted, true))
@@ -234,7 +234,7 @@
         return;
     }
     if (!attempt.fields.isSigned) {
-        // Without the endpoint's signature these bytes are no answer of its own.
+        // Without the endpoint's signature the response cannot be attributed to it.
         callFailed(*attempt.call, FailureKind::MalformedEvent);
         return;
     }
@@ -287,7 +287,7 @@
     recover(wasSent ? RefusalReason::EndpointFailed : RefusalReason::NoEndpoint);
 }
 
-// Goes on elsewhere if that is allowed, waits for an attempt that is still open, or gives the request up.
+// Tries another endpoint if that is allowed, waits for an attempt that is still open, or gives up the request.
 void WholeAnswerCall::recover(RefusalReason lastReason)
 {
     if (m_permit)
@@ -306,7 +306,7 @@
     if (verdict == AttemptVerdict::Allowed && isRetry
         && !budget.take(purposeAfter(lastReason), m_request.admittedAt, m_context.now()))
         verdict = AttemptVerdict::RetriesSpent;
-    // Endpoints that are known to be full or out of reach are not tried one after the other: the call waits instead.
+    // Endpoints that are known to be full or unreachable are not tried one after another; the call waits instead.
     if (verdict == AttemptVerdict::Allowed) {
         if (sendNext(mayWait() ? soundEndpoint() : anyEndpoint(), isRetry))
             return;
@@ -424,7 +424,7 @@
     refuse(wasSent ? RefusalReason::TimedOut : RefusalReason::TimedOutUnsent);
 }
 
-// Only a call that was sent once shows how long calls take: a second sending is sent because the first one is slow.
+// Only a call with a single attempt shows how long calls take: a hedge is sent because the first attempt is slow.
 void WholeAnswerCall::noteCallTime(Milliseconds now)
 {
     if (m_attempts.size() == 1 && m_context.has(Policy::LearnedPace))
--- a/src/relay/WholeAnswerCall.h
+++ b/src/relay/WholeAnswerCall.h
@@ -1,13 +1,13 @@
-// Serves a request that has one whole answer.
+// Serves a request with a single, non-streamed answer.
 //
-// The answer is collected before its first byte goes to the caller, so that one that breaks off is never mistaken for
-// a whole one and an idempotent call can go on elsewhere. An idempotent call whose endpoint is slow is also sent to a
-// second endpoint, and the first good answer wins.
+// The answer is buffered until it is complete, so that the caller never takes a truncated answer for a complete one and
+// an idempotent call can be sent to another endpoint. An idempotent call whose endpoint is slow is also sent to a
+// second endpoint (hedging), and the first good answer is used.
 //
-// A call that must not run twice is sent again only where the first sending provably did not run.
+// A call that must not run twice is sent again only if the first attempt provably did not run.
 //
-// A call that no endpoint has taken waits for a place; admission/WaitForPlace decides how long.
-// Used on the relay's thread only. Owned by its pending timers and the exchange's callback.
+// A call that no endpoint has accepted waits for capacity; admission/WaitForPlace decides how long. Used on the relay's
+// thread only. Owned by its pending timers and the exchange's callback.
 #pragma once
 
 #include "relay/CrashWatch.h"
@@ -36,36 +36,36 @@
     void callFailed(EndpointCall&, FailureKind) override;
 
 private:
-    // One sending and what has come of its answer.
+    // One request to an endpoint and the part of its answer that has been received.
     struct Attempt {
         std::shared_ptr<EndpointCall> call;
         HttpResponse answer;
         AnswerFields fields;
-        // A retry was taken for it.
+        // The retry budget was charged for this attempt.
         bool isCharged { false };
     };
 
     WholeAnswerCall(RelayContext&, RelayRequest);
     void begin();
-    // Sends to one more endpoint, or asks for a permit to; false when there is none. Only an endpoint of which nothing
-    // bad is known is good enough where the call can wait instead.
+    // Sends the request to one more endpoint, or asks for a permit to do so; returns false when no endpoint is
+    // available. If the call can wait instead, only an endpoint without known problems is acceptable.
     bool sendNext(const PlacementRequest&, bool isCharged);
     void sendTo(const std::shared_ptr<RelayEndpoint>&, bool isCharged);
     void askForPermit(const std::shared_ptr<RelayEndpoint>&, bool isCharged);
     void permitAnswered(const std::shared_ptr<RelayEndpoint>&, bool isGranted, bool isCharged);
     PlacementRequest anyEndpoint();
     PlacementRequest soundEndpoint();
-    // True when the call has run nowhere and may be sent again.
+    // True when the call has run nowhere and may be sent again later.
     bool mayWait() const;
-    // Waits for a place, or refuses for the reason when that is not worth it.
+    // Waits for capacity, or refuses the call with the reason when waiting is not worthwhile.
     void waitForPlace(RefusalReason lastReason);
     UnplacedRequest unplaced(RefusalReason lastReason);
     WaitingCall waitingCall() const;
     void tryAgain(RefusalReason lastReason);
     void leaveWaitingRoom();
-    // A number from 0 to 1 that differs from call to call.
+    // Pseudo-random number from 0 to 1 that differs between calls and between waits of a call.
     double spread() const;
-    // True when an earlier attempt may have reached its endpoint: only then is the next one a retry.
+    // True when an earlier attempt may have reached its endpoint, which makes the next attempt a retry.
     bool mayHaveArrived() const;
     void armHedge();
     void hedge();
@@ -86,18 +86,18 @@
     RolloutPart m_rollout;
     CrashWatch m_crashWatch;
     std::vector<std::unique_ptr<Attempt>> m_attempts;
-    // Set while a permit is asked for.
+    // Set while a permit request is pending.
     std::shared_ptr<PermitWait> m_permit;
-    // Endpoints tried since the call waited last.
+    // Endpoints tried since the last wait.
     std::vector<std::shared_ptr<RelayEndpoint>> m_tried;
-    // Sendings that an endpoint may have run.
+    // Number of attempts that an endpoint may have run.
     unsigned m_possibleRuns { 0 };
-    // A whole error answer of an endpoint, to be passed on if nothing better comes.
+    // A complete error answer of an endpoint, passed on if no attempt succeeds.
     std::unique_ptr<Attempt> m_errorAnswer;
     boost::asio::steady_timer m_deadlineTimer;
     boost::asio::steady_timer m_hedgeTimer;
     boost::asio::steady_timer m_waitTimer;
-    // How often it has waited for a place.
+    // Number of waits for capacity so far.
     unsigned m_waits { 0 };
     bool m_isWaiting { false };
     bool m_isFinished { false };
--- a/test/EndpointLimitTest.cpp
+++ b/test/EndpointLimitTest.cpp
@@ -1,10 +1,10 @@
-// Endpoints in need named in their answers how many requests a second they take from all VMs together, and got up to
-// twice what that allows: an endpoint that named 1.1 a second got 22 requests in 4 s (12 are allowed), one of 2.5 a
-// second got 22 (20 are allowed), from VMs that had passed such answers on. No VM acted on what the answers said, and
-// an endpoint's limit for all VMs is the first thing of which no VM alone knows how much is used. What settled it: one
-// VM sent 18 in four seconds to the endpoint of 1.1 a second, four of the 30 sendings of all VMs were retries, and the
-// shares of the four endpoints were the same before and after:
-//     request.sent to i-20e08d9a6b: 13 in the four seconds before, 30 after; i-e2782c44e0: 30 before, 36 after
+// An endpoint's responses state how many requests per second it takes from all VMs together (Server-Limit). The tests
+// guard against VMs that ignore the limit. An endpoint with a limit of 1.1 requests per second received 22 requests in
+// 4 s (12 are allowed), and one with 2.5 received 22 (20 are allowed), from VMs that had passed such responses on to
+// their callers. One VM alone sent 18 requests in 4 s to the endpoint with the limit of 1.1, and only four of the 30
+// requests of all VMs were retries. The shares of the four endpoints stayed the same: one endpoint received 13 requests
+// in the four seconds before and 30 after, another one 30 and 36. A limit for all VMs cannot be kept by a VM alone,
+// because it does not know how much of it the others use.
 #include "RelayHarness.h"
 
 #include <CppUTest/TestHarness.h>
@@ -14,7 +14,7 @@
 
 namespace {
 
-// What an endpoint that takes so many a second may get within four seconds.
+// The most requests that an endpoint with this limit may receive within four seconds.
 constexpr double mostInFourSeconds(double perSecond) { return 1.5 * 4 * perSecond + 5; }
 
 std::string idOf(const std::string& request)
@@ -55,7 +55,7 @@
     void setup() override
     {
         relay = std::make_unique<RelayHarness>();
-        // No second sending of a call that is only slow.
+        // Disables hedging of slow calls.
         relay->settings.shortestHedgeDelay = relay->settings.longestHedgeDelay = Milliseconds { 100000 };
         relay->addRoute("once", RequestKind::NonIdempotent, 2);
         relay->addRoute("stream", RequestKind::EventStream, 5);
@@ -69,7 +69,7 @@
         relay->list();
     }
 
-    // So many callers come at once; all of them are served.
+    // Sends this many calls at once and checks that all of them are served.
     void serveTogether(const std::string& path, int count, const HttpHeaders& extra = {})
     {
         std::vector<std::shared_ptr<TestCaller>> callers;
@@ -82,7 +82,7 @@
         }
     }
 
-    // Forty rounds of four callers, forty milliseconds each.
+    // Sends 40 rounds of four calls, 40 ms apart.
     void serveInRounds(const std::string& path)
     {
         const auto& clock = relay->daemon().clock();
@@ -100,7 +100,7 @@
     inNeed.onRequest(answersWith("Server-Limit: 1\r\n"));
     relay->addEndpoint("e2").onRequest(answersWith(""));
     ready();
-    // The first round is under way before anything can be heard.
+    // The first requests are sent before any response can state the limit.
     serveTogether("/once/1", 4);
     inNeed.forgetRequests();
     serveInRounds("/once/1");
@@ -121,15 +121,16 @@
         ("in under four seconds it got " + std::to_string(inNeed.requests().size())).c_str());
 }
 
-// A call went to an endpoint that was full for a moment, beside one that takes a request every five seconds. It was
-// refused at once with the five seconds, although the full one had a place again within its time.
+// Guards against refusing a call at once because one endpoint's limit is spent, while another endpoint is only full for
+// a moment. The call was refused with the five seconds of an endpoint that takes a request every five seconds, although
+// the full endpoint had capacity again within the call's deadline.
 TEST(EndpointLimit, DoesNotKeepACallFromWaitingForAFullEndpointBesideIt)
 {
     relay->addEndpoint("e1").onRequest(answersWith("Server-Limit: 0.2\r\n"));
     auto& full = relay->addEndpoint("e2");
     full.onRequest(answersWith(""));
     ready();
-    // Until the limit has been heard, and its places are taken.
+    // Calls until the limit is known and used up.
     serveInRounds("/once/1");
     int turnedAway = 0;
     full.onRequest([&turnedAway](ScriptedConnection& asker, const std::string& request) {
--- a/test/EndpointRestTest.cpp
+++ b/test/EndpointRestTest.cpp
@@ -1,4 +1,5 @@
-// Requests reached endpoints that had asked this VM for rest (503 with Retry-After), or had said that they leave.
+// Guards against requests to endpoints that have asked this VM to back off (503 with Retry-After) or have announced
+// that they are shutting down.
 #include "RelayHarness.h"
 
 #include <set>
@@ -78,7 +79,7 @@
         return caller;
     }
 
-    // One call after the other, each 20 ms after the one before it.
+    // Sends calls one after the other, at least 20 ms apart.
     void callFor(const std::string& path, Milliseconds time)
     {
         const auto& clock = relay->daemon().clock();
@@ -90,7 +91,7 @@
         }
     }
 
-    // Calls until the endpoint has been reached once more.
+    // Sends calls until the endpoint has received one more request.
     void callUntilReached(const std::string& path, const ScriptedEndpoint& endpoint)
     {
         const auto before = endpoint.requests().size();
@@ -99,7 +100,7 @@
         CHECK_TEXT(endpoint.requests().size() > before, "the endpoint was not chosen in 100 calls");
     }
 
-    // Calls for 800 ms after a rejection that asks for 1 s.
+    // Sends calls for 800 ms after a rejection that asks for a back-off of 1 s.
     void checkRest(const std::string& path, const ScriptedConnection::OnRequest& served)
     {
         auto& resting = relay->addEndpoint("e1");
@@ -169,7 +170,7 @@
     LONGS_EQUAL(2, endpoint.requests().size());
 }
 
-// The list's source may lose an entry for some seconds while the endpoint lives and rests.
+// The source of the list may lose an endpoint's entry for some seconds while the endpoint is alive and backs off.
 TEST(EndpointRest, IsKeptByAnEndpointWhoseEntryLapsesAndReturns)
 {
     auto& resting = relay->addEndpoint("e1");
@@ -208,7 +209,7 @@
     LONGS_EQUAL(0, resting.requests().size());
 }
 
-// Without a signature or the mark of a rejection the bytes may come from anyone at the address.
+// Without a signature or the header of a rejection, the response may come from any process at the address.
 TEST(EndpointRest, IsNotTakenFromAnAnswerThatIsNotTheEndpoints)
 {
     auto& endpoint = relay->addEndpoint("e1");
@@ -242,7 +243,7 @@
 {
     relay->settings.probeAfterSilence = relay->settings.probeAfterSilenceInDoubt = Milliseconds { 10 };
     auto& engine = relay->addEndpoint("e1");
-    // Its stream falls silent behind the first event.
+    // Its stream stops after the first event.
     engine.onRequest([](ScriptedConnection& asker, const std::string& request) {
         asker.beginStream(signedHeadOf(request));
         asker.sendEvent(1);
@@ -259,7 +260,8 @@
     LONGS_EQUAL(0, engine.requests().size());
 }
 
-// A stream that no engine takes for longer than it can wait is refused at once, spread behind the end of the rest.
+// A stream that no engine accepts within the time that it can wait is refused at once. The retry times of such streams
+// are spread over an interval after the back-off ends.
 TEST(EndpointRest, SpreadsTheReturnOfRefusedStreams)
 {
     relay->addEndpoint("e1").onRequest(rejectsWith("Retry-After: 3\r\n"));
--- a/test/EventStreamCallTest.cpp
+++ b/test/EventStreamCallTest.cpp
@@ -84,8 +84,8 @@
     CHECK(holder.hasAsked(0, "/r1\r\n"));
 }
 
-// Found by trouble-3 of the shifted site: while the list was silent the copy's engine had started again, the copy went
-// there, and the list's return took the engine's earlier id away.
+// Guards against losing the copy when its engine restarts under a new id. While the list of endpoints was unavailable
+// the engine restarted and received the copy; when the list returned, it removed the engine's earlier id.
 TEST(EventStreamCall, FindsItsCopyAtAnEngineThatTheListHasRenamed)
 {
     auto& engine = relay->addEndpoint("e1", "a");
@@ -206,7 +206,7 @@
     STRCMP_EQUAL("0.250", caller->header("Retry-After").c_str());
 }
 
-// To read 9000 tokens takes 1.8 s at the pace that is assumed as long as nothing has been seen.
+// Processing 9000 tokens takes 1.8 s at the rate that is assumed until calls have been measured.
 TEST(EventStreamCall, RefusesAtOnceARequestThatNoEngineCanEndInTheTimeThatIsLeft)
 {
     auto& engine = relay->addEndpoint("e1");
@@ -225,7 +225,7 @@
     auto& engine = relay->addEndpoint("e1");
     engine.onRequest(sends(95, 100));
     ready();
-    // Half of at most 100 events is assumed: 1.6 s from the first one on, nothing behind the 94th.
+    // Half of at most 100 events is assumed: 1.6 s from the first one on, nothing after the 94th.
     const auto whole = relay->call("/stream/1", { { "X-Deadline-Ms", "1200" }, { "X-Token-Usage", "500,500" } }, "r1");
     await(whole);
     LONGS_EQUAL(503, whole->head.status);
@@ -272,7 +272,7 @@
     CHECK(second.hasAsked(0, "/h7\r\n") || third.hasAsked(0, "/h7\r\n"));
 }
 
-// An answer without a length ends with its connection, and so does a run that is stopped to be moved.
+// A response without a length ends when its connection closes, and a run that is stopped to be moved closes it too.
 TEST(EventStreamCall, TakesTheEndOfAStoppedRunForNoEndOfItsAnswer)
 {
     relay->settings.relocateUnlessDoneWithin = Milliseconds { 0 };
--- a/test/RelayHandlerTest.cpp
+++ b/test/RelayHandlerTest.cpp
@@ -34,7 +34,7 @@
         return caller->head.status;
     }
 
-    // Sends bytes that no proper client would, and returns the first line of what comes back.
+    // Sends bytes that no correct client would send, and returns the first line of the response.
     std::string firstLineAfter(const std::string& bytes)
     {
         boost::asio::ip::tcp::socket socket(relay->daemon().ioContext());
--- a/test/RelayHarness.h
+++ b/test/RelayHarness.h
@@ -1,4 +1,4 @@
-// A relay with scripted endpoints and a caller, all on one thread that the test drives.
+// A relay with scripted endpoints and a caller, all on one thread that the test runs.
 #pragma once
 
 #include "PlatformCallProtocol.h"
@@ -11,7 +11,7 @@
 
 namespace lupinknot::internal {
 
-// A caller's request and what has come back so far.
+// A caller's request and the part of the response that has been received.
 class TestCaller final : public ClientConnectionListener, public std::enable_shared_from_this<TestCaller> {
 public:
     void answerHead(const HttpResponse& response) override { head = response; }
@@ -36,21 +36,21 @@
 public:
     RelayHarness();
 
-    // The service's endpoints are engines that can be asked for their load.
+    // Makes the service's endpoints engines, whose load can be queried.
     void useEngines();
-    // Adds a route at /PREFIX/ of the host h.
+    // Adds a route for the path prefix /PREFIX/ of the host h.
     void addRoute(const std::string& prefix, RequestKind, unsigned maxAttempts, bool isPublic = true);
-    // Adds a route for plain calls of an organisation, and the key that it wants.
+    // Adds a non-idempotent route for an organisation, and the API key that it requires.
     void addKeyedRoute(const std::string& prefix, const std::string& key, const std::string& organisation);
-    // Puts the routes in force.
+    // Applies a configuration with the routes added so far.
     void configure();
     ScriptedEndpoint& addEndpoint(
         const std::string& id, const std::string& zone = "a", const std::string& version = "v1");
-    // Tells the relay of the endpoints.
+    // Passes the endpoints added so far to the relay's directory.
     void list();
     std::shared_ptr<TestCaller> call(
         const std::string& path, const HttpHeaders& extra = {}, const std::string& id = "r1");
-    // Runs until the condition holds; false when it has not come true for very long.
+    // Runs the event loop until the condition holds; returns false when it does not within a long time.
     bool runUntil(const std::function<bool()>&);
 
     RelaySettings settings;
@@ -64,7 +64,7 @@
     std::vector<EndpointEntry> m_entries;
 };
 
-// What a good answer carries.
+// Header lines that make the response to request r1 acceptable.
 inline const std::string signedHead = "X-Request-Id: r1\r\nX-Response-Signature: s\r\n";
 
 } // namespace lupinknot::internal
--- a/test/ScriptedEndpoint.h
+++ b/test/ScriptedEndpoint.h
@@ -1,6 +1,6 @@
-// An endpoint whose answers a test writes byte by byte.
+// An endpoint whose responses are written byte by byte by a test.
 //
-// Runs on the io_context of the test, one thread with the code under test.
+// Runs on the io_context of the test, on the same thread as the code under test.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -32,7 +32,7 @@
         boost::asio::write(m_socket, boost::asio::buffer(bytes), ignored);
     }
 
-    // Sends a whole answer with a length; the header lines end with a line break each.
+    // Sends a complete response with a Content-Length; each header line must end with CRLF.
     void answer(int status, const std::string& headerLines, const std::string& body)
     {
         send("HTTP/1.1 " + std::to_string(status) + " X\r\n" + headerLines
@@ -116,18 +116,18 @@
         accept();
     }
 
-    // What to do with each request; an endpoint without a script stays silent.
+    // Sets the handler for each request; without one the endpoint does not respond.
     void onRequest(ScriptedConnection::OnRequest script) { m_script = std::move(script); }
     std::int64_t port() const { return m_acceptor.local_endpoint().port(); }
     const std::vector<std::string>& requests() const { return m_requests; }
     const std::vector<std::shared_ptr<ScriptedConnection>>& connections() const { return m_connections; }
-    // True when the request with this number, from 0, holds the text.
+    // True when the request with this zero-based index contains the text.
     bool hasAsked(std::size_t number, const std::string& text) const
     {
         return number < m_requests.size() && m_requests[number].find(text) != std::string::npos;
     }
     void forgetRequests() { m_requests.clear(); }
-    // Ends the endpoint: open connections are reset and new ones refused.
+    // Simulates a crash: open connections are reset and new ones refused.
     void crash()
     {
         for (const auto& connection : m_connections)
--- a/test/WholeAnswerCallTest.cpp
+++ b/test/WholeAnswerCallTest.cpp
@@ -13,7 +13,7 @@
     void setup() override
     {
         relay = std::make_unique<RelayHarness>();
-        // No second sending to a slow endpoint, unless a test wants it.
+        // Disables hedging, unless a test enables it.
         relay->settings.shortestHedgeDelay = relay->settings.longestHedgeDelay = Milliseconds { 100000 };
         relay->addRoute("once", RequestKind::NonIdempotent, 1);
         relay->addRoute("again", RequestKind::Idempotent, 2);
@@ -304,8 +304,8 @@
     LONGS_EQUAL_TEXT(3, sendings, "the new budget should allow a second sending");
 }
 
-// Found by incident inc-dfd8 of savinja-knot: a VM of a zone that was cut off spent its retries on endpoints that it
-// could not connect to, and then refused calls for want of retries.
+// Guards against charging the retry budget for connection failures. A VM in a zone that was cut off used up its retries
+// on endpoints that it could not connect to, and then refused calls because its retry budget was empty.
 TEST(WholeAnswerCall, AnAttemptThatReachedNoEndpointCostsNoRetry)
 {
     relay->settings.retryRatio = 0;
@@ -314,7 +314,7 @@
     relay->addEndpoint("e2").onRequest(answers(200, "hello"));
     ready();
     dead.crash();
-    // Whichever endpoint comes first, one of these calls meets the dead one.
+    // Whichever endpoint is chosen first, one of these calls is sent to the crashed one.
     for (int i = 0; i < 6; ++i) {
         const auto caller = relay->call("/once/1");
         await(caller);
