--- a/src/relay/EndpointCall.cpp
+++ b/src/relay/EndpointCall.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-FailureKind kindOf(ClientFailure failure)
+FailureKind failureKindOf(ClientFailure failure)
 {
     switch (failure) {
     case ClientFailure::NotConnected:
@@ -74,8 +74,8 @@
     const auto fields = m_context.protocol.decodeAnswer(head);
     const auto now = m_context.now();
     // Unsigned bytes and responses of another process at the address say nothing about this endpoint.
-    const bool isItsOwn = (fields.isSigned || fields.isNotRun) && !fields.isOtherEndpoint;
-    if (isItsOwn)
+    const bool isFromEndpoint = (fields.isSigned || fields.isNotRun) && !fields.isOtherEndpoint;
+    if (isFromEndpoint)
         m_endpoint->noteSignals(fields, now);
     m_isSkipping = !fields.requestId.empty() && fields.requestId != m_options.requestId;
     if (m_isSkipping) {
@@ -86,7 +86,7 @@
             .write();
         return;
     }
-    if (isItsOwn && m_endpoint->noteLimit(fields.limit, m_startedAt, now))
+    if (isFromEndpoint && m_endpoint->noteLimit(fields.limit, m_startedAt, now))
         m_context.permits->tell(m_endpoint->entry().startName(), m_endpoint->limitNews(now));
     if (const auto listener = m_listener.lock())
         listener->callHead(*this, head, fields);
@@ -129,7 +129,7 @@
     m_hadSent = m_connection->hasSent();
     end();
     if (const auto listener = m_listener.lock())
-        listener->callFailed(*this, kindOf(failure));
+        listener->callFailed(*this, failureKindOf(failure));
 }
 
 } // namespace lupinknot::internal
--- a/src/relay/EventSplitter.cpp
+++ b/src/relay/EventSplitter.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-bool EventSplitter::feed(std::string_view piece, std::vector<WholeEvent>& events)
+bool EventSplitter::feed(std::string_view piece, std::vector<CompleteEvent>& events)
 {
     m_pending.append(piece);
     for (;;) {
@@ -37,12 +37,12 @@
             return m_pending.size() <= maxEventBytes;
         const auto line = withoutLineEnd(std::string_view(m_pending).substr(m_lineStart, lineEnd - m_lineStart));
         m_lineStart = lineEnd + 1;
-        if (line.empty() && !takeBlock(lineEnd + 1, events))
+        if (line.empty() && !processBlock(lineEnd + 1, events))
             return false;
     }
 }
 
-bool EventSplitter::takeBlock(std::size_t end, std::vector<WholeEvent>& events)
+bool EventSplitter::processBlock(std::size_t end, std::vector<CompleteEvent>& events)
 {
     const auto block = std::string_view(m_pending).substr(m_blockStart, end - m_blockStart);
     std::optional<std::string_view> id;
@@ -56,7 +56,7 @@
         m_blockStart = end;
         return true;
     }
-    WholeEvent event;
+    CompleteEvent event;
     const auto parsed = std::from_chars(id->data(), id->data() + id->size(), event.id);
     if (parsed.ec != std::errc() || parsed.ptr != id->data() + id->size())
         return false;
--- a/src/relay/EventSplitter.h
+++ b/src/relay/EventSplitter.h
@@ -12,7 +12,7 @@
 
 namespace lupinknot::internal {
 
-struct WholeEvent {
+struct CompleteEvent {
     std::uint64_t id { 0 };
     std::string bytes;
 };
@@ -23,13 +23,13 @@
     static constexpr std::size_t maxEventBytes = 1 << 20;
 
     // Appends the events that this piece completes. Returns false when an event is too large or its id is not a number.
-    bool feed(std::string_view piece, std::vector<WholeEvent>& events);
+    bool feed(std::string_view piece, std::vector<CompleteEvent>& events);
     // Bytes of the incomplete last event.
-    const std::string& rest() const { return m_pending; }
+    const std::string& incompleteBytes() const { return m_pending; }
 
 private:
     // Processes one block that ends with an empty line. Returns false when its id is not a number.
-    bool takeBlock(std::size_t end, std::vector<WholeEvent>& events);
+    bool processBlock(std::size_t end, std::vector<CompleteEvent>& events);
 
     std::string m_pending;
     // Offset of the incomplete block; blocks without an id may precede it.
--- a/src/relay/EventStreamCall.cpp
+++ b/src/relay/EventStreamCall.cpp
@@ -52,20 +52,20 @@
 void EventStreamCall::begin()
 {
     // Weak, because the callbacks of the watch's timer may still run once after this call is destroyed.
-    const auto guarded = [weak = weak_from_this()](void (EventStreamCall::*action)()) {
+    const auto ifNotFinished = [weak = weak_from_this()](void (EventStreamCall::*action)()) {
         return [weak, action] {
             if (const auto self = weak.lock(); self && !self->m_isFinished)
                 (self.get()->*action)();
         };
     };
-    m_watch = RunWatch::make(
-        m_context, m_request, { guarded(&EventStreamCall::runSilent), guarded(&EventStreamCall::considerMove) });
+    m_watch = RunWatch::make(m_context, m_request,
+        { ifNotFinished(&EventStreamCall::runStalled), ifNotFinished(&EventStreamCall::considerMove) });
     m_mover
         = std::make_unique<RunMover>(m_context, m_request, m_rollout, [weak = weak_from_this()](const RunMove& move) {
               if (const auto self = weak.lock(); self && !self->m_isFinished)
-                  self->moved(move);
+                  self->moveFinished(move);
           });
-    m_crashWatch.begin(guarded(&EventStreamCall::heldMeanwhile));
+    m_crashWatch.begin(ifNotFinished(&EventStreamCall::requestBecameHeld));
     m_deadlineTimer.expires_after(m_request.deadline - m_context.now());
     m_deadlineTimer.async_wait([self = shared_from_this()](boost::system::error_code error) {
         if (!error)
@@ -77,7 +77,7 @@
         LogEvent("request.caller-gone").text("request", self->m_request.fields.requestId).write();
         self->finish();
     });
-    if (!m_choice->findEarlierRun(guarded(&EventStreamCall::startRun)))
+    if (!m_choice->findEarlierRun(ifNotFinished(&EventStreamCall::startRun)))
         startRun();
 }
 
@@ -85,46 +85,46 @@
 {
     auto verdict = mayRunOnceMore(m_crashWatch.attemptState(m_possibleRuns)) ? AttemptVerdict::Allowed
                                                                              : AttemptVerdict::RunsSpent;
-    m_isNextCharged = verdict == AttemptVerdict::Allowed && m_arrivals > 0;
+    m_tookRetryForNextRun = verdict == AttemptVerdict::Allowed && m_possibleDeliveries > 0;
     auto& budget = m_context.retryBudget(m_request.service);
-    if (m_isNextCharged && !budget.take(RetryPurpose::Rescue, m_request.admittedAt, m_context.now()))
+    if (m_tookRetryForNextRun && !budget.take(RetryPurpose::Rescue, m_request.admittedAt, m_context.now()))
         verdict = AttemptVerdict::RetriesSpent;
     if (verdict != AttemptVerdict::Allowed)
         giveUp(refusalAfter(verdict, m_possibleRuns));
     return verdict == AttemptVerdict::Allowed;
 }
 
-bool EventStreamCall::isSendable()
+bool EventStreamCall::mayBeSent()
 {
     const auto verdict = judgeAttempt(m_crashWatch.attemptState(m_possibleRuns));
     if (verdict == AttemptVerdict::Held)
-        held();
+        giveUpAsHeld();
     else if (verdict == AttemptVerdict::Undecided)
         startRunLater();
     return verdict != AttemptVerdict::Held && verdict != AttemptVerdict::Undecided;
 }
 
-void EventStreamCall::held() { giveUp(refusalAfter(AttemptVerdict::Held, m_possibleRuns)); }
+void EventStreamCall::giveUpAsHeld() { giveUp(refusalAfter(AttemptVerdict::Held, m_possibleRuns)); }
 
 // A run that produces events evidently does not crash its engine, whatever other runs of the request have done.
-void EventStreamCall::heldMeanwhile()
+void EventStreamCall::requestBecameHeld()
 {
     if (!m_run || !m_run->hasEvent)
-        held();
+        giveUpAsHeld();
 }
 
 void EventStreamCall::startRun()
 {
-    if (!isSendable())
+    if (!mayBeSent())
         return;
-    if (const auto place = m_choice->placeOfCopy()) {
+    if (const auto copyLocation = m_choice->placeOfCopy()) {
         if (mayStartRun())
-            startRunAt(place->engine, place->copy);
+            startRunAt(copyLocation->engine, copyLocation->copy);
         return;
     }
     const auto earlier = m_choice->takeEarlierEngine();
     if (m_possibleRuns == 0 && m_context.has(Policy::TimeCheck)
-        && m_pace.lacksTime(m_answer->lastEventId(), earlier != nullptr)) {
+        && m_pace.lacksTimeToFinish(m_answer->lastEventId(), earlier != nullptr)) {
         giveUp(RefusalReason::TooLittleTime);
         return;
     }
@@ -153,9 +153,9 @@
         sendTo(endpoint, std::move(copy));
         return;
     }
-    const auto patience = m_choice->patienceForPermit(copy.has_value());
+    const auto maxWait = m_choice->patienceForPermit(copy.has_value());
     m_permit = PermitWait::start(
-        m_context, endpoint, patience, [weak = weak_from_this(), endpoint, copy = std::move(copy)](bool isGranted) {
+        m_context, endpoint, maxWait, [weak = weak_from_this(), endpoint, copy = std::move(copy)](bool isGranted) {
             const auto self = weak.lock();
             if (!self || self->m_isFinished)
                 return;
@@ -164,7 +164,7 @@
                 self->sendTo(endpoint, copy);
                 return;
             }
-            if (std::exchange(self->m_isNextCharged, false))
+            if (std::exchange(self->m_tookRetryForNextRun, false))
                 self->m_context.retryBudget(self->m_request.service).giveBack();
             self->startRun();
         });
@@ -181,7 +181,7 @@
     run->startedAt = now;
     run->lastActivity = now;
     run->isFromCopy = copy.has_value();
-    run->isCharged = std::exchange(m_isNextCharged, false);
+    run->tookRetry = std::exchange(m_tookRetryForNextRun, false);
 
     ForwardFields fields;
     fields.timeLeft = m_request.deadline - now;
@@ -194,10 +194,10 @@
     fields.continueFrom = std::move(copy);
     m_choice->forgetCopy();
 
-    logRunSent(m_request, *run, *m_answer, m_sendings == 0, now);
+    logRunSent(m_request, *run, *m_answer, m_attempts == 0, now);
     m_rollout.noteSent();
-    ++m_sendings;
-    ++m_arrivals;
+    ++m_attempts;
+    ++m_possibleDeliveries;
     ++m_possibleRuns;
     if (!run->isFromCopy)
         run->reading = std::make_unique<ReadingMark>(endpoint);
@@ -237,7 +237,7 @@
 {
     if (!m_run || m_run->call.get() != &call)
         return;
-    m_run->begunAt = m_context.now();
+    m_run->headReceivedAt = m_context.now();
     m_run->head.status = head.status;
     m_run->head.headers = head.headers.endToEnd();
     m_run->fields = fields;
@@ -255,30 +255,30 @@
         run->head.body.append(piece);
         return;
     }
-    std::vector<WholeEvent> events;
+    std::vector<CompleteEvent> events;
     if (!run->splitter.feed(piece, events)) {
-        runLost(FailureKind::MalformedEvent);
+        runFailed(FailureKind::MalformedEvent);
         return;
     }
     if (!events.empty())
-        takeEvents(*run, std::move(events));
+        processEvents(*run, std::move(events));
 }
 
-void EventStreamCall::takeEvents(StreamRun& run, std::vector<WholeEvent>&& events)
+void EventStreamCall::processEvents(StreamRun& run, std::vector<CompleteEvent>&& events)
 {
     const auto now = m_context.now();
     if (!m_answer->append(run, std::move(events))) {
-        runLost(FailureKind::WrongPosition);
+        runFailed(FailureKind::WrongPosition);
         return;
     }
     run.lastActivity = now;
     run.endpoint->noteLife(now);
-    if (!run.hasEvent && m_lossAt)
-        noteResumed(run, now);
+    if (!run.hasEvent && m_failedAt)
+        recordResumption(run, now);
     run.hasEvent = true;
     if (!run.firstEventAt) {
         run.firstEventAt = now;
-        m_pace.noteFirstEvent(run, now);
+        m_pace.recordFirstEvent(run, now);
     }
     m_crashWatch.noteProducing(now - *run.firstEventAt);
     run.reading.reset();
@@ -287,20 +287,20 @@
         const auto usual = m_context.pace(m_request.service).usualFirstEvent(m_request.fields.promptTokens);
         if (!run.isFromCopy && !m_request.fields.lastEventId)
             m_rollout.noteAnswerAfter(*run.endpoint, now - run.startedAt, usual);
-        m_pace.notePromptRead(run, now);
+        m_pace.recordPromptTime(run, now);
         logFirstEvent(m_request, run, now);
     }
-    m_answer->handOn(run.head, now);
+    m_answer->forwardToCaller(run.head, now);
 }
 
-void EventStreamCall::noteResumed(const StreamRun& run, Milliseconds now)
+void EventStreamCall::recordResumption(const StreamRun& run, Milliseconds now)
 {
     const auto lastEventAt = m_answer->lastEventAt();
-    logRunResumed(m_request, run, lastEventAt, *m_lossAt, now);
+    logRunResumed(m_request, run, lastEventAt, *m_failedAt, now);
     if (lastEventAt && now > *lastEventAt)
         m_context.metrics.resumeGap.Observe(static_cast<double>((now - *lastEventAt).count()));
     (run.isFromCopy ? m_context.metrics.resumedFromCopy : m_context.metrics.resumedCold).Increment();
-    m_lossAt.reset();
+    m_failedAt.reset();
 }
 
 void EventStreamCall::callEnded(EndpointCall& call)
@@ -309,30 +309,30 @@
     if (!run || run->call.get() != &call || m_isFinished)
         return;
     if (!run->isStream) {
-        settleWholeAnswer(run);
+        handleNonStreamResponse(run);
         return;
     }
     // An engine that stops a run to move it closes the connection. For a response without a length that looks like its
     // end.
     if (!run->isFramed && m_mover->isStopping())
         return;
-    if (!run->splitter.rest().empty() || m_answer->length() == 0) {
-        runLost(FailureKind::EarlyEnd);
+    if (!run->splitter.incompleteBytes().empty() || m_answer->length() == 0) {
+        runFailed(FailureKind::EarlyEnd);
         return;
     }
     complete();
 }
 
 // Handles a response that is not an event stream.
-void EventStreamCall::settleWholeAnswer(const std::shared_ptr<StreamRun>& run)
+void EventStreamCall::handleNonStreamResponse(const std::shared_ptr<StreamRun>& run)
 {
     if (run->fields.isNotRun || run->fields.isOtherEndpoint) {
-        turnedAway();
+        runRejected();
         return;
     }
     const bool isError = run->head.status >= firstServerError;
     if (!run->fields.isSigned || m_answer->hasBegun() || (isError && m_request.route->mayRunAgain())) {
-        runLost(run->fields.isSigned ? FailureKind::ErrorStatus : FailureKind::MalformedEvent);
+        runFailed(run->fields.isSigned ? FailureKind::ErrorStatus : FailureKind::MalformedEvent);
         return;
     }
     logEnd("endpoint-status", run->head.status);
@@ -340,14 +340,14 @@
     finish();
 }
 
-void EventStreamCall::turnedAway()
+void EventStreamCall::runRejected()
 {
     const auto run = std::exchange(m_run, nullptr);
     const auto now = m_context.now();
     --m_possibleRuns;
     m_watch->stop();
     run->reading.reset();
-    logRunTurnedAway(m_request, *run);
+    logRunRejected(m_request, *run);
     if (run->fields.isOtherEndpoint) {
         m_context.directory.remove(run->endpoint->entry().id, now);
         m_choice->noteFailed(run->endpoint);
@@ -364,10 +364,10 @@
         return;
     // A run that is being moved closes its stream; the response to the move request determines how to continue.
     if (!m_mover->isStopping())
-        runLost(kind);
+        runFailed(kind);
 }
 
-void EventStreamCall::runLost(FailureKind kind)
+void EventStreamCall::runFailed(FailureKind kind)
 {
     const auto run = std::exchange(m_run, nullptr);
     const auto now = m_context.now();
@@ -377,15 +377,15 @@
     run->call->cancel();
     m_watch->stop();
     m_mover->cancel();
-    logRunLost(m_request, *run, *m_answer, kind, now);
+    logRunFailed(m_request, *run, *m_answer, kind, now);
     m_context.metrics.countFailure(kind);
     if (wasSent) {
         m_rollout.noteAnswer(*run->endpoint, AnswerQuality::Bad);
-        m_crashWatch.noteUnfinished(run->endpoint, run->startedAt, m_pace.unfinishedRun(*run, kind, now));
+        m_crashWatch.noteUnfinished(run->endpoint, run->startedAt, m_pace.describeUnfinishedRun(*run, kind, now));
     } else {
         --m_possibleRuns;
-        --m_arrivals;
-        if (run->isCharged)
+        --m_possibleDeliveries;
+        if (run->tookRetry)
             m_context.retryBudget(m_request.service).giveBack();
     }
     const bool isSilent = kind == FailureKind::Silent;
@@ -397,20 +397,20 @@
     m_choice->noteFailed(run->endpoint);
     // A run's memory is copied from its first event on, so before that no copy exists.
     m_choice->setCopy(run->hasEvent ? copyHolderOf(*run, m_context.directory) : nullptr, m_request.fields.requestId);
-    m_lossAt = m_lossAt.value_or(now);
+    m_failedAt = m_failedAt.value_or(now);
     startRun();
 }
 
-void EventStreamCall::runSilent() { runLost(FailureKind::Silent); }
+void EventStreamCall::runStalled() { runFailed(FailureKind::Silent); }
 
 void EventStreamCall::considerMove()
 {
     const bool leavesAttempt = m_possibleRuns + 1 < m_request.route->maxAttempts;
-    const auto expectedRest = m_answer->expectedRest(m_pace.mostEvents(), m_context.now());
-    m_mover->consider(*m_run, { leavesAttempt, expectedRest }, m_choice->failed());
+    const auto expectedTimeLeft = m_answer->expectedTimeLeft(m_pace.maxEvents(), m_context.now());
+    m_mover->consider(*m_run, { leavesAttempt, expectedTimeLeft }, m_choice->failed());
 }
 
-void EventStreamCall::moved(const RunMove& move)
+void EventStreamCall::moveFinished(const RunMove& move)
 {
     logRunMoved(m_request, move, *m_answer);
     const bool isMoving = m_run && (move.result == RelocationResult::Moved || move.result == RelocationResult::Stopped);
@@ -419,14 +419,14 @@
     if (move.result == RelocationResult::Refused || !m_run)
         return;
     if (move.result == RelocationResult::Unknown) {
-        runLost(FailureKind::ConnectionLost);
+        runFailed(FailureKind::ConnectionLost);
         return;
     }
     m_run->call->cancel();
     m_run.reset();
     m_watch->stop();
-    m_lossAt = m_context.now();
-    m_isNextCharged = true;
+    m_failedAt = m_context.now();
+    m_tookRetryForNextRun = true;
     const bool isMoved = move.result == RelocationResult::Moved;
     startRunAt(isMoved ? move.target : move.source, CopySource { move.source->entry().address, move.handle });
 }
@@ -442,7 +442,7 @@
     m_answer->complete();
     m_choice->forgetLocation();
     m_crashWatch.noteHarmless();
-    m_pace.noteWholeAnswer(m_answer->lastEventId(), m_answer->length(), m_answer->duration());
+    m_pace.recordCompleteAnswer(m_answer->lastEventId(), m_answer->length(), m_answer->duration());
     logEnd("complete", m_run->head.status);
     m_request.exchange->wake();
     finish();
@@ -477,7 +477,7 @@
 void EventStreamCall::logEnd(std::string_view outcome, unsigned status)
 {
     const auto took = m_context.now() - m_request.admittedAt;
-    logStreamDone(m_request, *m_answer, outcome, status, m_sendings, took);
+    logStreamDone(m_request, *m_answer, outcome, status, m_attempts, took);
     m_context.metrics.countRequest(m_request.route->kind, status, took);
 }
 
--- a/src/relay/EventStreamCall.h
+++ b/src/relay/EventStreamCall.h
@@ -53,20 +53,20 @@
     bool mayStartRun();
     // Returns false when the request is quarantined, which ends the call, or may be soon, in which case the call waits
     // for the decision.
-    bool isSendable();
+    bool mayBeSent();
 
-    void takeEvents(StreamRun&, std::vector<WholeEvent>&&);
-    void noteResumed(const StreamRun&, Milliseconds now);
-    void settleWholeAnswer(const std::shared_ptr<StreamRun>&);
-    void runLost(FailureKind);
-    void runSilent();
-    void turnedAway();
-    void held();
-    void heldMeanwhile();
+    void processEvents(StreamRun&, std::vector<CompleteEvent>&&);
+    void recordResumption(const StreamRun&, Milliseconds now);
+    void handleNonStreamResponse(const std::shared_ptr<StreamRun>&);
+    void runFailed(FailureKind);
+    void runStalled();
+    void runRejected();
+    void giveUpAsHeld();
+    void requestBecameHeld();
 
     // Moves the run preventively if no engine holds a copy of it and a move is worth its cost.
     void considerMove();
-    void moved(const RunMove&);
+    void moveFinished(const RunMove&);
 
     void timedOut();
     void complete();
@@ -91,12 +91,12 @@
     std::unique_ptr<RunMover> m_mover;
     // Number of runs that an engine may have started.
     unsigned m_possibleRuns { 0 };
-    unsigned m_sendings { 0 };
+    unsigned m_attempts { 0 };
     // Number of requests that may have reached an engine; any further one counts as a retry.
-    unsigned m_arrivals { 0 };
+    unsigned m_possibleDeliveries { 0 };
     // True when the retry budget has already been charged for the next run.
-    bool m_isNextCharged { false };
-    std::optional<Milliseconds> m_lossAt;
+    bool m_tookRetryForNextRun { false };
+    std::optional<Milliseconds> m_failedAt;
     bool m_isFinished { false };
     boost::asio::steady_timer m_deadlineTimer;
     boost::asio::steady_timer m_retryTimer;
--- a/src/relay/RelayDaemon.cpp
+++ b/src/relay/RelayDaemon.cpp
@@ -14,9 +14,9 @@
 constexpr unsigned okStatus = 200;
 constexpr unsigned notReadyStatus = 503;
 // Interval between checks for unfinished requests during the shutdown.
-constexpr Milliseconds stopInterval { 50 };
+constexpr Milliseconds stopCheckInterval { 50 };
 // Interval between housekeeping runs: removal of expired endpoints, update of gauges.
-constexpr Milliseconds tickInterval { 500 };
+constexpr Milliseconds housekeepingInterval { 500 };
 
 } // namespace
 
@@ -30,17 +30,17 @@
     , m_context { m_ioContext, m_settings, m_clock, protocol, m_directory, m_placement, m_metrics, m_crashGuard,
         &m_localPermits, nullptr, {}, {}, nullptr, false }
     , m_handler(m_context)
-    , m_front(m_ioContext, listenAt(addresses.front),
+    , m_callerServer(m_ioContext, listenAt(addresses.front),
           [this](const std::shared_ptr<HttpExchange>& exchange) { m_handler.handle(exchange); })
-    , m_ready(m_ioContext, listenAt(addresses.ready),
+    , m_readinessServer(m_ioContext, listenAt(addresses.ready),
           [this](const std::shared_ptr<HttpExchange>& exchange) { answerReadiness(exchange); })
     , m_metricsServer(m_ioContext, listenAt(addresses.metrics),
           [this](const std::shared_ptr<HttpExchange>& exchange) { answerMetrics(exchange); })
     , m_signals(m_ioContext, SIGTERM, SIGINT, SIGHUP)
     , m_stopTimer(m_ioContext)
-    , m_tickTimer(m_ioContext)
+    , m_housekeepingTimer(m_ioContext)
 {
-    m_directory.onFirstList([this] { m_handler.newsArrived(); });
+    m_directory.onFirstList([this] { m_handler.processWaitingRequests(); });
     m_directory.setServices([this](const std::string& service) {
         return !m_context.configuration || m_context.configuration->findService(service);
     });
@@ -50,16 +50,16 @@
 
 std::optional<std::string> RelayDaemon::start()
 {
-    for (auto* const server : { &m_front, &m_ready, &m_metricsServer }) {
+    for (auto* const server : { &m_callerServer, &m_readinessServer, &m_metricsServer }) {
         if (auto problem = server->start())
             return problem;
     }
     awaitSignal();
-    tick();
+    runHousekeeping();
     LogEvent("process.started")
         .text("zone", m_settings.availabilityZone)
-        .number("front_port", m_front.port())
-        .number("ready_port", m_ready.port())
+        .number("front_port", m_callerServer.port())
+        .number("ready_port", m_readinessServer.port())
         .number("metrics_port", m_metricsServer.port())
         .write();
     return std::nullopt;
@@ -83,19 +83,19 @@
 
 bool RelayDaemon::applyConfiguration(std::shared_ptr<const RelayConfiguration> configuration)
 {
-    const auto present = m_context.configuration;
-    if (present && configuration->version() <= present->version())
+    const auto current = m_context.configuration;
+    if (current && configuration->version() <= current->version())
         return false;
     LogEvent("config.applied")
         .number("config_version", static_cast<std::int64_t>(configuration->version()))
-        .number("previous_version", present ? static_cast<std::int64_t>(present->version()) : 0)
+        .number("previous_version", current ? static_cast<std::int64_t>(current->version()) : 0)
         .number("routes", static_cast<std::int64_t>(configuration->routeCount()))
         .write();
     m_context.configuration = std::move(configuration);
-    m_front.changeSettings(m_context.configuration->callerLimits());
+    m_callerServer.changeSettings(m_context.configuration->callerLimits());
     m_metrics.configurationVersion.Set(static_cast<double>(m_context.configuration->version()));
-    if (!present)
-        m_handler.newsArrived();
+    if (!current)
+        m_handler.processWaitingRequests();
     return true;
 }
 
@@ -146,8 +146,8 @@
     if (m_stopRequestedAt)
         return;
     m_stopRequestedAt = m_clock.now();
-    LogEvent("process.stopping").number("busy", static_cast<std::int64_t>(m_front.busyCount())).write();
-    m_front.announceStop();
+    LogEvent("process.stopping").number("busy", static_cast<std::int64_t>(m_callerServer.busyCount())).write();
+    m_callerServer.announceStop();
     if (m_onStopping)
         m_onStopping();
     awaitStop();
@@ -155,32 +155,32 @@
 
 void RelayDaemon::awaitStop()
 {
-    const auto since = m_clock.now() - *m_stopRequestedAt;
-    if (since >= m_settings.stopAcceptsFor && !m_context.isStopping) {
+    const auto elapsed = m_clock.now() - *m_stopRequestedAt;
+    if (elapsed >= m_settings.stopAcceptsFor && !m_context.isStopping) {
         m_context.isStopping = true;
-        m_front.closeIdleConnections();
+        m_callerServer.closeIdleConnections();
     }
-    const auto busy = m_front.busyCount();
-    if ((m_context.isStopping && busy == 0) || since >= m_settings.stopWithin) {
+    const auto busy = m_callerServer.busyCount();
+    if ((m_context.isStopping && busy == 0) || elapsed >= m_settings.stopWithin) {
         LogEvent("process.stopped").number("broken_off", static_cast<std::int64_t>(busy)).write();
         m_ioContext.stop();
         return;
     }
-    m_stopTimer.expires_after(stopInterval);
+    m_stopTimer.expires_after(stopCheckInterval);
     m_stopTimer.async_wait([this](boost::system::error_code error) {
         if (!error)
             awaitStop();
     });
 }
 
-void RelayDaemon::tick()
+void RelayDaemon::runHousekeeping()
 {
     m_directory.dropExpired(m_clock.now());
     m_metrics.endpointsKnown.Set(static_cast<double>(m_directory.size()));
-    m_tickTimer.expires_after(tickInterval);
-    m_tickTimer.async_wait([this](boost::system::error_code error) {
+    m_housekeepingTimer.expires_after(housekeepingInterval);
+    m_housekeepingTimer.async_wait([this](boost::system::error_code error) {
         if (!error)
-            tick();
+            runHousekeeping();
     });
 }
 
--- a/src/relay/RelayDaemon.h
+++ b/src/relay/RelayDaemon.h
@@ -74,7 +74,7 @@
     bool applyConfiguration(std::shared_ptr<const RelayConfiguration>);
     const std::shared_ptr<const RelayConfiguration>& configuration() const { return m_context.configuration; }
     // The port that callers connect to, also when the settings asked for any port (0).
-    unsigned short frontPort() const { return m_front.port(); }
+    unsigned short frontPort() const { return m_callerServer.port(); }
     // Number of requests that wait for the configuration, for endpoints or for capacity.
     std::size_t waitingCount() const { return m_context.waitingRoom.count(); }
     // Sets the callback for a reload request (SIGHUP): the settings file may have changed.
@@ -90,7 +90,7 @@
     void answerMetrics(const std::shared_ptr<HttpExchange>&);
     void awaitSignal();
     void awaitStop();
-    void tick();
+    void runHousekeeping();
 
     RelaySettings m_settings;
     const MonotonicClock m_clock;
@@ -102,12 +102,12 @@
     LocalPermits m_localPermits;
     RelayContext m_context;
     RelayHandler m_handler;
-    HttpServer m_front;
-    HttpServer m_ready;
+    HttpServer m_callerServer;
+    HttpServer m_readinessServer;
     HttpServer m_metricsServer;
     boost::asio::signal_set m_signals;
     boost::asio::steady_timer m_stopTimer;
-    boost::asio::steady_timer m_tickTimer;
+    boost::asio::steady_timer m_housekeepingTimer;
     std::function<void()> m_onReload;
     std::function<void()> m_onStopping;
     std::optional<Milliseconds> m_stopRequestedAt;
--- a/src/relay/RelayHandler.cpp
+++ b/src/relay/RelayHandler.cpp
@@ -28,11 +28,11 @@
         total += share.weight;
     if (total == 0)
         return route.services.front().service;
-    auto ticket = XXH64(requestId.data(), requestId.size(), 0) % total;
+    auto position = XXH64(requestId.data(), requestId.size(), 0) % total;
     for (const auto& share : route.services) {
-        if (ticket < share.weight)
+        if (position < share.weight)
             return share.service;
-        ticket -= share.weight;
+        position -= share.weight;
     }
     return route.services.back().service;
 }
@@ -42,13 +42,13 @@
 RelayHandler::RelayHandler(RelayContext& context)
     : m_context(context)
     , m_startedAt(context.now())
-    , m_startupQueue(context, [this](const StartupQueue::Request& request) { decide(request); })
+    , m_startupQueue(context, [this](const StartupQueue::Request& request) { serveOrWait(request); })
 {
 }
 
-void RelayHandler::handle(const std::shared_ptr<HttpExchange>& exchange) { decide({ exchange, m_context.now() }); }
+void RelayHandler::handle(const std::shared_ptr<HttpExchange>& exchange) { serveOrWait({ exchange, m_context.now() }); }
 
-void RelayHandler::decide(const StartupQueue::Request& arrived)
+void RelayHandler::serveOrWait(const StartupQueue::Request& arrived)
 {
     const StartupState state { m_startedAt, m_context.configuration != nullptr, m_context.directory.isKnown() };
     if ((state.hasConfiguration && state.hasEndpoints) || !m_context.has(Policy::Waiting)) {
--- a/src/relay/RelayHandler.h
+++ b/src/relay/RelayHandler.h
@@ -18,10 +18,10 @@
     explicit RelayHandler(RelayContext&);
     void handle(const std::shared_ptr<HttpExchange>&);
     // Processes the waiting requests again, after the VM received its configuration or its endpoints.
-    void newsArrived() { m_startupQueue.release(); }
+    void processWaitingRequests() { m_startupQueue.release(); }
 
 private:
-    void decide(const StartupQueue::Request&);
+    void serveOrWait(const StartupQueue::Request&);
     void serve(const StartupQueue::Request&);
     // Completes the request with its route, service and deadline. Returns the reason to refuse it, if there is one.
     std::optional<RefusalReason> admit(RelayRequest&) const;
--- a/src/relay/StreamAnswer.cpp
+++ b/src/relay/StreamAnswer.cpp
@@ -24,15 +24,15 @@
     {
         HttpBodyPiece piece;
         const auto& events = m_answer->m_events.tokens();
-        for (; m_handedOn < events.size(); ++m_handedOn)
-            piece.bytes.append(events[m_handedOn].text);
+        for (; m_forwardedCount < events.size(); ++m_forwardedCount)
+            piece.bytes.append(events[m_forwardedCount].text);
         piece.isLast = m_answer->m_isComplete;
         return piece;
     }
 
 private:
     const std::shared_ptr<const StreamAnswer> m_answer;
-    std::size_t m_handedOn { 0 };
+    std::size_t m_forwardedCount { 0 };
 };
 
 std::shared_ptr<StreamAnswer> StreamAnswer::make(const RelayRequest& request)
@@ -42,15 +42,15 @@
 
 StreamAnswer::StreamAnswer(const RelayRequest& request)
     : m_request(request)
-    , m_firstPosition(request.fields.lastEventId.value_or(0))
+    , m_previousEventId(request.fields.lastEventId.value_or(0))
     , m_events({ .maxTokens = std::numeric_limits<std::size_t>::max(), .stops = {} })
 {
 }
 
-bool StreamAnswer::append(const StreamRun& run, std::vector<WholeEvent>&& events)
+bool StreamAnswer::append(const StreamRun& run, std::vector<CompleteEvent>&& events)
 {
     for (auto& event : events) {
-        const auto position = static_cast<std::size_t>(event.id - m_firstPosition - 1);
+        const auto position = static_cast<std::size_t>(event.id - m_previousEventId - 1);
         Token token { static_cast<TokenId>(position), std::move(event.bytes) };
         if (m_events.append(run.number, position, std::move(token)) == AppendResult::Appended)
             continue;
@@ -65,7 +65,7 @@
     return true;
 }
 
-void StreamAnswer::handOn(const HttpResponse& head, Milliseconds now)
+void StreamAnswer::forwardToCaller(const HttpResponse& head, Milliseconds now)
 {
     m_lastEventAt = now;
     if (!std::exchange(m_hasBegun, true)) {
@@ -75,12 +75,12 @@
     m_request.exchange->wake();
 }
 
-Milliseconds StreamAnswer::expectedRest(std::int64_t mostEvents, Milliseconds now) const
+Milliseconds StreamAnswer::expectedTimeLeft(std::int64_t maxEvents, Milliseconds now) const
 {
-    if (mostEvents == 0 || length() < 2)
+    if (maxEvents == 0 || length() < 2)
         return Milliseconds::max();
     const auto pace = (now - m_firstEventAt) / static_cast<std::int64_t>(length());
-    return std::max<std::int64_t>(mostEvents - static_cast<std::int64_t>(lastEventId()), 0) * pace;
+    return std::max<std::int64_t>(maxEvents - static_cast<std::int64_t>(lastEventId()), 0) * pace;
 }
 
 } // namespace lupinknot::internal
--- a/src/relay/StreamAnswer.h
+++ b/src/relay/StreamAnswer.h
@@ -6,7 +6,7 @@
 //     const auto answer = StreamAnswer::make(request);
 //     run->number = answer->beginRun();
 //     if (!answer->append(*run, std::move(events))) ...       // The run sent a wrong event; abandon it.
-//     answer->handOn(run->head, now);
+//     answer->forwardToCaller(run->head, now);
 //
 // Used on the relay's thread only. Owned by the stream's call and by the caller's connection.
 #pragma once
@@ -32,9 +32,9 @@
     // Starts a run; events of earlier runs are rejected from now on.
     AttemptNumber beginRun() { return m_events.beginAttempt(); }
     // Returns false when an event of the run does not follow the last one.
-    bool append(const StreamRun&, std::vector<WholeEvent>&&);
+    bool append(const StreamRun&, std::vector<CompleteEvent>&&);
     // Passes the received events to the caller; the first call also sends the head.
-    void handOn(const HttpResponse& head, Milliseconds now);
+    void forwardToCaller(const HttpResponse& head, Milliseconds now);
     // Marks the answer as complete.
     void complete() { m_isComplete = true; }
 
@@ -44,13 +44,13 @@
     // Number of events received in this call.
     std::size_t length() const { return m_events.length(); }
     // Id of the last event that the caller has received or will receive.
-    std::uint64_t lastEventId() const { return m_firstPosition + m_events.length(); }
+    std::uint64_t lastEventId() const { return m_previousEventId + m_events.length(); }
     // Time of the last event; nothing before the first one.
     std::optional<Milliseconds> lastEventAt() const { return m_lastEventAt; }
     // Time from the first event to the last one.
     Milliseconds duration() const { return m_lastEventAt.value_or(m_firstEventAt) - m_firstEventAt; }
     // Estimated time until the last event, from the average rate so far and the maximum number of events (0: unknown).
-    Milliseconds expectedRest(std::int64_t mostEvents, Milliseconds now) const;
+    Milliseconds expectedTimeLeft(std::int64_t maxEvents, Milliseconds now) const;
 
 private:
     class Source;
@@ -59,7 +59,7 @@
 
     const RelayRequest& m_request;
     // Number of events that the caller had received before this call.
-    const std::uint64_t m_firstPosition;
+    const std::uint64_t m_previousEventId;
     Generation m_events;
     Milliseconds m_firstEventAt { 0 };
     std::optional<Milliseconds> m_lastEventAt;
--- a/src/relay/StreamLog.cpp
+++ b/src/relay/StreamLog.cpp
@@ -40,7 +40,7 @@
         .write();
 }
 
-void logRunTurnedAway(const RelayRequest& request, const StreamRun& run)
+void logRunRejected(const RelayRequest& request, const StreamRun& run)
 {
     LogEvent("stream.turned-away")
         .text("request", request.fields.requestId)
@@ -52,7 +52,7 @@
         .write();
 }
 
-void logRunLost(
+void logRunFailed(
     const RelayRequest& request, const StreamRun& run, const StreamAnswer& answer, FailureKind kind, Milliseconds now)
 {
     LogEvent("stream.run-lost")
@@ -65,20 +65,20 @@
         .number("last_event", static_cast<std::int64_t>(answer.lastEventId()))
         .number("silent_ms", (now - run.lastActivity).count())
         .number("run_ms", (now - run.startedAt).count())
-        .number("begun_ms", run.begunAt ? (now - *run.begunAt).count() : -1)
+        .number("begun_ms", run.headReceivedAt ? (now - *run.headReceivedAt).count() : -1)
         .write();
 }
 
 void logRunResumed(const RelayRequest& request, const StreamRun& run, std::optional<Milliseconds> lastEventAt,
-    Milliseconds lossAt, Milliseconds now)
+    Milliseconds failedAt, Milliseconds now)
 {
     LogEvent("stream.resumed")
         .text("request", request.fields.requestId)
         .text("endpoint", run.endpoint->entry().id)
         .flag("from_copy", run.isFromCopy)
         .number("pause_ms", (now - lastEventAt.value_or(now)).count())
-        .number("detection_ms", (lossAt - lastEventAt.value_or(lossAt)).count())
-        .number("since_loss_ms", (now - lossAt).count())
+        .number("detection_ms", (failedAt - lastEventAt.value_or(failedAt)).count())
+        .number("since_loss_ms", (now - failedAt).count())
         .write();
 }
 
@@ -94,14 +94,14 @@
 }
 
 void logStreamDone(const RelayRequest& request, const StreamAnswer& answer, std::string_view outcome, unsigned status,
-    unsigned sendings, Milliseconds took)
+    unsigned attempts, Milliseconds took)
 {
     LogEvent("stream.done", answer.isComplete() ? LogImportance::Routine : LogImportance::Notable)
         .text("request", request.fields.requestId)
         .text("outcome", outcome)
         .number("status", status)
         .number("events", static_cast<std::int64_t>(answer.length()))
-        .number("sendings", sendings)
+        .number("sendings", attempts)
         .number("took_ms", took.count())
         .write();
 }
--- a/src/relay/StreamLog.h
+++ b/src/relay/StreamLog.h
@@ -15,15 +15,15 @@
 
 void logRunSent(const RelayRequest&, const StreamRun&, const StreamAnswer&, bool isFirst, Milliseconds now);
 void logFirstEvent(const RelayRequest&, const StreamRun&, Milliseconds now);
-void logRunTurnedAway(const RelayRequest&, const StreamRun&);
-void logRunLost(const RelayRequest&, const StreamRun&, const StreamAnswer&, FailureKind, Milliseconds now);
-// lastEventAt is the time of the last event before the failure, if there was one; lossAt is when the failure was
+void logRunRejected(const RelayRequest&, const StreamRun&);
+void logRunFailed(const RelayRequest&, const StreamRun&, const StreamAnswer&, FailureKind, Milliseconds now);
+// lastEventAt is the time of the last event before the failure, if there was one; failedAt is when the failure was
 // detected.
-void logRunResumed(const RelayRequest&, const StreamRun&, std::optional<Milliseconds> lastEventAt, Milliseconds lossAt,
-    Milliseconds now);
+void logRunResumed(const RelayRequest&, const StreamRun&, std::optional<Milliseconds> lastEventAt,
+    Milliseconds failedAt, Milliseconds now);
 void logRunMoved(const RelayRequest&, const RunMove&, const StreamAnswer&);
 // A status of 0 stands for a stream that was aborted after it had started.
 void logStreamDone(const RelayRequest&, const StreamAnswer&, std::string_view outcome, unsigned status,
-    unsigned sendings, Milliseconds took);
+    unsigned attempts, Milliseconds took);
 
 } // namespace lupinknot::internal
--- a/src/relay/StreamPace.cpp
+++ b/src/relay/StreamPace.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // A request is refused in advance only if it would miss its deadline even with the fastest 5% of the measured times.
-constexpr double fastestShare = 0.05;
+constexpr double fastestQuantile = 0.05;
 
 } // namespace
 
@@ -24,21 +24,21 @@
 {
 }
 
-std::int64_t StreamPace::mostEvents() const
+std::int64_t StreamPace::maxEvents() const
 {
     const auto* service = m_context.configuration->findService(m_request.service);
     const auto tokensPerEvent = service ? service->tokensPerEvent : 0;
     return tokensPerEvent == 0 ? 0 : static_cast<std::int64_t>(m_request.fields.maxAnswerTokens / tokensPerEvent);
 }
 
-bool StreamPace::lacksTime(std::uint64_t lastEventId, bool isPromptKept) const
+bool StreamPace::lacksTimeToFinish(std::uint64_t lastEventId, bool isPromptKept) const
 {
     const auto& pace = m_context.pace(m_request.service);
     const auto reading
-        = isPromptKept ? 0.0 : pace.readTimePerToken.quantile(fastestShare) * m_request.fields.promptTokens;
-    const auto leastEvents = pace.answerShare.quantile(fastestShare) * static_cast<double>(mostEvents());
-    const auto missing = std::max(leastEvents - static_cast<double>(lastEventId), 0.0);
-    const auto needed = reading + missing * pace.eventInterval.quantile(fastestShare);
+        = isPromptKept ? 0.0 : pace.readTimePerToken.quantile(fastestQuantile) * m_request.fields.promptTokens;
+    const auto minEvents = pace.answerShare.quantile(fastestQuantile) * static_cast<double>(maxEvents());
+    const auto missing = std::max(minEvents - static_cast<double>(lastEventId), 0.0);
+    const auto needed = reading + missing * pace.eventInterval.quantile(fastestQuantile);
     const auto left = m_request.deadline - m_context.now();
     if (needed <= static_cast<double>(left.count()))
         return false;
@@ -54,20 +54,20 @@
     return true;
 }
 
-void StreamPace::noteFirstEvent(const StreamRun& run, Milliseconds now)
+void StreamPace::recordFirstEvent(const StreamRun& run, Milliseconds now)
 {
-    const auto lead = std::max(now - run.begunAt.value_or(now), Milliseconds { 1 });
+    const auto lead = std::max(now - run.headReceivedAt.value_or(now), Milliseconds { 1 });
     m_context.pace(m_request.service).headLead.add(static_cast<double>(lead.count()), now);
 }
 
-UnfinishedRun StreamPace::unfinishedRun(const StreamRun& run, FailureKind kind, Milliseconds now)
+UnfinishedRun StreamPace::describeUnfinishedRun(const StreamRun& run, FailureKind kind, Milliseconds now)
 {
     auto& pace = m_context.pace(m_request.service);
-    pace.showsBeginnings = pace.showsBeginnings || (run.begunAt && !run.hasEvent);
+    pace.showsBeginnings = pace.showsBeginnings || (run.headReceivedAt && !run.hasEvent);
     const auto withoutHead = pace.showsBeginnings ? RunBeginning::NotYet : RunBeginning::Hidden;
     const auto withHead = pace.sendsHeadsEarly() ? RunBeginning::Hidden : RunBeginning::Begun;
-    const auto withoutEvent = run.begunAt ? withHead : withoutHead;
-    const auto since = run.firstEventAt.value_or(run.begunAt.value_or(run.startedAt));
+    const auto withoutEvent = run.headReceivedAt ? withHead : withoutHead;
+    const auto since = run.firstEventAt.value_or(run.headReceivedAt.value_or(run.startedAt));
     // A broken connection shows that the engine was alive until then; silence does not.
     const auto lastSign = kind == FailureKind::Silent ? std::max(since, run.lastActivity) : now;
     return { kind, run.hasEvent ? RunBeginning::Producing : withoutEvent, lastSign - since };
@@ -75,7 +75,7 @@
 
 // Only the first attempt from the start of a stream shows how fast engines process prompts; for others the engine may
 // have parts of the prompt cached.
-void StreamPace::notePromptRead(const StreamRun& run, Milliseconds now)
+void StreamPace::recordPromptTime(const StreamRun& run, Milliseconds now)
 {
     const auto tokens = m_request.fields.promptTokens;
     if (tokens == 0 || m_request.fields.lastEventId || run.isFromCopy || !m_context.has(Policy::LearnedPace))
@@ -85,14 +85,14 @@
     pace.promptTokens.add(tokens, now);
 }
 
-void StreamPace::noteWholeAnswer(std::uint64_t lastEventId, std::size_t events, Milliseconds time)
+void StreamPace::recordCompleteAnswer(std::uint64_t lastEventId, std::size_t events, Milliseconds time)
 {
     if (!m_context.has(Policy::LearnedPace))
         return;
     auto& pace = m_context.pace(m_request.service);
     const auto now = m_context.now();
-    if (mostEvents() > 0)
-        pace.answerShare.add(static_cast<double>(lastEventId) / static_cast<double>(mostEvents()), now);
+    if (maxEvents() > 0)
+        pace.answerShare.add(static_cast<double>(lastEventId) / static_cast<double>(maxEvents()), now);
     if (events > 1)
         pace.eventInterval.add(static_cast<double>(time.count()) / static_cast<double>(events - 1), now);
 }
--- a/src/relay/StreamPace.h
+++ b/src/relay/StreamPace.h
@@ -1,9 +1,9 @@
 // Records the timing of one stream for its service's statistics, and checks whether the stream can finish in time.
 //
 //     StreamPace pace(context, request);
-//     if (pace.lacksTime(lastEventId, isPromptKept)) ...      // Refuse it; it cannot meet its deadline.
-//     pace.notePromptRead(run, now);                          // The first event has arrived.
-//     pace.noteWholeAnswer(lastEventId, events, time);        // The stream is complete.
+//     if (pace.lacksTimeToFinish(lastEventId, isPromptKept)) ...   // Refuse it; it cannot meet its deadline.
+//     pace.recordPromptTime(run, now);                             // The first event has arrived.
+//     pace.recordCompleteAnswer(lastEventId, events, time);        // The stream is complete.
 //
 // Used on the relay's thread only. The context and the request outlive it.
 #pragma once
@@ -23,18 +23,18 @@
     StreamPace(RelayContext&, const RelayRequest&);
 
     // Maximum number of events of the whole answer; 0 when unknown.
-    std::int64_t mostEvents() const;
+    std::int64_t maxEvents() const;
     // True when too little time is left for any engine to finish the stream before its deadline. Processing the prompt
     // takes no time where an engine still holds it in its cache.
-    bool lacksTime(std::uint64_t lastEventId, bool isPromptKept) const;
+    bool lacksTimeToFinish(std::uint64_t lastEventId, bool isPromptKept) const;
 
     // Records the time between a run's head and its first event, which shows whether engines send heads early.
-    void noteFirstEvent(const StreamRun&, Milliseconds now);
+    void recordFirstEvent(const StreamRun&, Milliseconds now);
     // Describes a run that its engine did not finish.
-    UnfinishedRun unfinishedRun(const StreamRun&, FailureKind, Milliseconds now);
-    void notePromptRead(const StreamRun&, Milliseconds now);
+    UnfinishedRun describeUnfinishedRun(const StreamRun&, FailureKind, Milliseconds now);
+    void recordPromptTime(const StreamRun&, Milliseconds now);
     // The time is measured from the first of the events to the last one.
-    void noteWholeAnswer(std::uint64_t lastEventId, std::size_t events, Milliseconds time);
+    void recordCompleteAnswer(std::uint64_t lastEventId, std::size_t events, Milliseconds time);
 
 private:
     RelayContext& m_context;
--- a/src/relay/StreamRun.h
+++ b/src/relay/StreamRun.h
@@ -30,7 +30,7 @@
     std::unique_ptr<ReadingMark> reading;
     Milliseconds startedAt { 0 };
     // When the response head arrived, which shows that the engine has started the run; nothing before that.
-    std::optional<Milliseconds> begunAt;
+    std::optional<Milliseconds> headReceivedAt;
     std::optional<Milliseconds> firstEventAt;
     // Time of the last event, or of sending the request if there was none.
     Milliseconds lastActivity { 0 };
@@ -40,7 +40,7 @@
     bool hasEvent { false };
     bool isFromCopy { false };
     // The retry budget was charged for this run.
-    bool isCharged { false };
+    bool tookRetry { false };
 };
 
 } // namespace lupinknot::internal
--- a/src/relay/WholeAnswerCall.cpp
+++ b/src/relay/WholeAnswerCall.cpp
@@ -46,7 +46,7 @@
 {
     m_crashWatch.begin([weak = weak_from_this()] {
         if (const auto self = weak.lock(); self && !self->m_isFinished)
-            self->held();
+            self->refuseAsHeld();
     });
     m_deadlineTimer.expires_after(m_request.deadline - m_context.now());
     m_deadlineTimer.async_wait([self = shared_from_this()](boost::system::error_code error) {
@@ -60,7 +60,7 @@
         self->finish();
     });
     if (!sendNext(anyEndpoint(), false))
-        waitForPlace(RefusalReason::NoEndpoint);
+        waitForCapacity(RefusalReason::NoEndpoint);
 }
 
 bool WholeAnswerCall::mayHaveArrived() const
@@ -72,61 +72,61 @@
 
 PlacementRequest WholeAnswerCall::anyEndpoint()
 {
-    return { .service = m_request.service, .excluded = m_tried, .version = m_rollout.next() };
+    return { .service = m_request.service, .excluded = m_triedEndpoints, .version = m_rollout.next() };
 }
 
-PlacementRequest WholeAnswerCall::soundEndpoint()
+PlacementRequest WholeAnswerCall::healthyEndpoint()
 {
-    auto wanted = anyEndpoint();
-    wanted.mustBeSound = true;
-    return wanted;
+    auto placementRequest = anyEndpoint();
+    placementRequest.mustBeSound = true;
+    return placementRequest;
 }
 
-bool WholeAnswerCall::sendNext(const PlacementRequest& wanted, bool isCharged)
+bool WholeAnswerCall::sendNext(const PlacementRequest& placementRequest, bool tookRetry)
 {
     const auto now = m_context.now();
-    const auto endpoint = m_context.placement.choose(wanted, now);
+    const auto endpoint = m_context.placement.choose(placementRequest, now);
     if (!endpoint || m_request.deadline <= now)
         return false;
     if (endpoint->isLimited())
-        askForPermit(endpoint, isCharged);
+        askForPermit(endpoint, tookRetry);
     else
-        sendTo(endpoint, isCharged);
+        sendTo(endpoint, tookRetry);
     return true;
 }
 
-void WholeAnswerCall::askForPermit(const std::shared_ptr<RelayEndpoint>& endpoint, bool isCharged)
+void WholeAnswerCall::askForPermit(const std::shared_ptr<RelayEndpoint>& endpoint, bool tookRetry)
 {
     const auto now = m_context.now();
-    auto other = soundEndpoint();
+    auto other = healthyEndpoint();
     other.limited = LimitedEndpoints::LeftOut;
     // If another endpoint can serve the call at once, it does not wait for its send slot at this one.
     const bool waits = mayWait() && !m_context.placement.choose(other, now);
-    const auto patience = waits ? timeToWait(waitingCall(), now) : Milliseconds { 0 };
+    const auto maxWait = waits ? timeToWait(waitingCall(), now) : Milliseconds { 0 };
     m_permit = PermitWait::start(
-        m_context, endpoint, patience, [weak = weak_from_this(), endpoint, isCharged](bool isGranted) {
+        m_context, endpoint, maxWait, [weak = weak_from_this(), endpoint, tookRetry](bool isGranted) {
             const auto self = weak.lock();
             if (self && !self->m_isFinished)
-                self->permitAnswered(endpoint, isGranted, isCharged);
+                self->permitAnswered(endpoint, isGranted, tookRetry);
         });
 }
 
-void WholeAnswerCall::permitAnswered(const std::shared_ptr<RelayEndpoint>& endpoint, bool isGranted, bool isCharged)
+void WholeAnswerCall::permitAnswered(const std::shared_ptr<RelayEndpoint>& endpoint, bool isGranted, bool tookRetry)
 {
     m_permit.reset();
     if (isGranted) {
-        sendTo(endpoint, isCharged);
+        sendTo(endpoint, tookRetry);
         return;
     }
-    if (isCharged)
+    if (tookRetry)
         m_context.retryBudget(m_request.service).giveBack();
     recover(RefusalReason::EndpointsLimited);
 }
 
-void WholeAnswerCall::sendTo(const std::shared_ptr<RelayEndpoint>& endpoint, bool isCharged)
+void WholeAnswerCall::sendTo(const std::shared_ptr<RelayEndpoint>& endpoint, bool tookRetry)
 {
     const auto now = m_context.now();
-    m_tried.push_back(endpoint);
+    m_triedEndpoints.push_back(endpoint);
     ForwardFields fields;
     fields.timeLeft = m_request.deadline - now;
     fields.endpointId = endpoint->entry().id;
@@ -145,7 +145,7 @@
     m_rollout.noteSent();
     ++m_possibleRuns;
     auto attempt = std::make_unique<Attempt>();
-    attempt->isCharged = isCharged;
+    attempt->tookRetry = tookRetry;
     auto& stored = *m_attempts.emplace_back(std::move(attempt));
     stored.call
         = EndpointCall::start(m_context, endpoint, request, { m_request.fields.requestId, maxRest }, weak_from_this());
@@ -174,9 +174,9 @@
     if (!m_context.retryBudget(m_request.service).take(RetryPurpose::Precaution, m_request.admittedAt, m_context.now()))
         return;
     // A hedge is only a precaution, so it is not sent to a rate-limited endpoint.
-    auto wanted = anyEndpoint();
-    wanted.limited = LimitedEndpoints::LeftOut;
-    if (!sendNext(wanted, true))
+    auto placementRequest = anyEndpoint();
+    placementRequest.limited = LimitedEndpoints::LeftOut;
+    if (!sendNext(placementRequest, true))
         m_context.retryBudget(m_request.service).giveBack();
 }
 
@@ -209,10 +209,10 @@
 void WholeAnswerCall::callEnded(EndpointCall& call)
 {
     if (!m_isFinished)
-        settle(attemptOf(call));
+        handleResponse(attemptOf(call));
 }
 
-void WholeAnswerCall::settle(Attempt& attempt)
+void WholeAnswerCall::handleResponse(Attempt& attempt)
 {
     const auto& endpoint = attempt.call->endpoint();
     const auto status = attempt.answer.status;
@@ -276,7 +276,7 @@
     if (!wasSent) {
         --m_possibleRuns;
         endpoint->avoidUntil(now + settings.avoidAfterRefusal);
-        if (attemptOf(call).isCharged)
+        if (attemptOf(call).tookRetry)
             m_context.retryBudget(m_request.service).giveBack();
     } else {
         m_rollout.noteAnswer(*endpoint, AnswerQuality::Bad);
@@ -308,7 +308,7 @@
         verdict = AttemptVerdict::RetriesSpent;
     // Endpoints that are known to be full or unreachable are not tried one after another; the call waits instead.
     if (verdict == AttemptVerdict::Allowed) {
-        if (sendNext(mayWait() ? soundEndpoint() : anyEndpoint(), isRetry))
+        if (sendNext(mayWait() ? healthyEndpoint() : anyEndpoint(), isRetry))
             return;
         if (isRetry)
             budget.giveBack();
@@ -321,7 +321,7 @@
     } else if (m_possibleRuns > 0) {
         refuse(RefusalReason::EndpointFailed);
     } else {
-        waitForPlace(verdict == AttemptVerdict::RetriesSpent ? RefusalReason::RetryBudgetSpent : lastReason);
+        waitForCapacity(verdict == AttemptVerdict::RetriesSpent ? RefusalReason::RetryBudgetSpent : lastReason);
     }
 }
 
@@ -335,14 +335,14 @@
     });
 }
 
-void WholeAnswerCall::held() { refuse(refusalAfter(AttemptVerdict::Held, m_possibleRuns)); }
+void WholeAnswerCall::refuseAsHeld() { refuse(refusalAfter(AttemptVerdict::Held, m_possibleRuns)); }
 
 bool WholeAnswerCall::mayWait() const
 {
     return m_possibleRuns == 0 && !m_errorAnswer && m_context.has(Policy::Waiting);
 }
 
-double WholeAnswerCall::spread() const
+double WholeAnswerCall::jitter() const
 {
     const auto& id = m_request.fields.requestId;
     const auto hash = static_cast<std::uint32_t>(XXH64(id.data(), id.size(), m_waits));
@@ -353,13 +353,13 @@
 
 UnplacedRequest WholeAnswerCall::unplaced(RefusalReason lastReason)
 {
-    auto wanted = anyEndpoint();
-    wanted.excluded.clear();
-    return { waitingCall(), m_context.placement.nextOpening(wanted, m_context.now()),
-        m_context.pace(m_request.service).usualCallTime(), spread(), lastReason };
+    auto placementRequest = anyEndpoint();
+    placementRequest.excluded.clear();
+    return { waitingCall(), m_context.placement.nextOpening(placementRequest, m_context.now()),
+        m_context.pace(m_request.service).usualCallTime(), jitter(), lastReason };
 }
 
-void WholeAnswerCall::waitForPlace(RefusalReason lastReason)
+void WholeAnswerCall::waitForCapacity(RefusalReason lastReason)
 {
     const auto now = m_context.now();
     const auto state = unplaced(lastReason);
@@ -383,7 +383,7 @@
     m_waitTimer.async_wait([weak = weak_from_this(), reason](boost::system::error_code error) {
         const auto self = weak.lock();
         if (!error && self && !self->m_isFinished)
-            self->tryAgain(reason);
+            self->retryAfterWait(reason);
     });
 }
 
@@ -393,21 +393,21 @@
         m_context.waitingRoom.leave(m_request.exchange->request().body.size());
 }
 
-void WholeAnswerCall::tryAgain(RefusalReason lastReason)
+void WholeAnswerCall::retryAfterWait(RefusalReason lastReason)
 {
     leaveWaitingRoom();
-    m_tried.clear();
+    m_triedEndpoints.clear();
     auto& budget = m_context.retryBudget(m_request.service);
     const bool isRetry = mayHaveArrived();
     if (isRetry && !budget.take(purposeAfter(lastReason), m_request.admittedAt, m_context.now())) {
-        waitForPlace(RefusalReason::RetryBudgetSpent);
+        waitForCapacity(RefusalReason::RetryBudgetSpent);
         return;
     }
     if (sendNext(anyEndpoint(), isRetry))
         return;
     if (isRetry)
         budget.giveBack();
-    waitForPlace(lastReason);
+    waitForCapacity(lastReason);
 }
 
 void WholeAnswerCall::timedOut()
@@ -425,7 +425,7 @@
 }
 
 // Only a call with a single attempt shows how long calls take: a hedge is sent because the first attempt is slow.
-void WholeAnswerCall::noteCallTime(Milliseconds now)
+void WholeAnswerCall::recordCallTime(Milliseconds now)
 {
     if (m_attempts.size() == 1 && m_context.has(Policy::LearnedPace))
         m_context.pace(m_request.service).callTime.add(static_cast<double>((now - m_request.admittedAt).count()), now);
@@ -434,7 +434,7 @@
 void WholeAnswerCall::answer(HttpResponse response, std::string_view outcome, std::string_view endpointId)
 {
     const auto now = m_context.now();
-    noteCallTime(now);
+    recordCallTime(now);
     LogEvent("request.done", LogImportance::Routine)
         .text("request", m_request.fields.requestId)
         .text("outcome", outcome)
--- a/src/relay/WholeAnswerCall.h
+++ b/src/relay/WholeAnswerCall.h
@@ -42,42 +42,42 @@
         HttpResponse answer;
         AnswerFields fields;
         // The retry budget was charged for this attempt.
-        bool isCharged { false };
+        bool tookRetry { false };
     };
 
     WholeAnswerCall(RelayContext&, RelayRequest);
     void begin();
     // Sends the request to one more endpoint, or asks for a permit to do so; returns false when no endpoint is
     // available. If the call can wait instead, only an endpoint without known problems is acceptable.
-    bool sendNext(const PlacementRequest&, bool isCharged);
-    void sendTo(const std::shared_ptr<RelayEndpoint>&, bool isCharged);
-    void askForPermit(const std::shared_ptr<RelayEndpoint>&, bool isCharged);
-    void permitAnswered(const std::shared_ptr<RelayEndpoint>&, bool isGranted, bool isCharged);
+    bool sendNext(const PlacementRequest&, bool tookRetry);
+    void sendTo(const std::shared_ptr<RelayEndpoint>&, bool tookRetry);
+    void askForPermit(const std::shared_ptr<RelayEndpoint>&, bool tookRetry);
+    void permitAnswered(const std::shared_ptr<RelayEndpoint>&, bool isGranted, bool tookRetry);
     PlacementRequest anyEndpoint();
-    PlacementRequest soundEndpoint();
+    PlacementRequest healthyEndpoint();
     // True when the call has run nowhere and may be sent again later.
     bool mayWait() const;
     // Waits for capacity, or refuses the call with the reason when waiting is not worthwhile.
-    void waitForPlace(RefusalReason lastReason);
+    void waitForCapacity(RefusalReason lastReason);
     UnplacedRequest unplaced(RefusalReason lastReason);
     WaitingCall waitingCall() const;
-    void tryAgain(RefusalReason lastReason);
+    void retryAfterWait(RefusalReason lastReason);
     void leaveWaitingRoom();
     // Pseudo-random number from 0 to 1 that differs between calls and between waits of a call.
-    double spread() const;
+    double jitter() const;
     // True when an earlier attempt may have reached its endpoint, which makes the next attempt a retry.
     bool mayHaveArrived() const;
     void armHedge();
     void hedge();
     void timedOut();
-    void settle(Attempt&);
+    void handleResponse(Attempt&);
     void recover(RefusalReason lastReason);
     void recoverLater(RefusalReason lastReason);
-    void held();
+    void refuseAsHeld();
     bool hasOpenAttempt() const;
     Attempt& attemptOf(const EndpointCall&);
     void answer(HttpResponse, std::string_view outcome, std::string_view endpointId);
-    void noteCallTime(Milliseconds now);
+    void recordCallTime(Milliseconds now);
     void refuse(RefusalReason);
     void finish();
 
@@ -89,7 +89,7 @@
     // Set while a permit request is pending.
     std::shared_ptr<PermitWait> m_permit;
     // Endpoints tried since the last wait.
-    std::vector<std::shared_ptr<RelayEndpoint>> m_tried;
+    std::vector<std::shared_ptr<RelayEndpoint>> m_triedEndpoints;
     // Number of attempts that an endpoint may have run.
     unsigned m_possibleRuns { 0 };
     // A complete error answer of an endpoint, passed on if no attempt succeeds.
--- a/test/EndpointLimitTest.cpp
+++ b/test/EndpointLimitTest.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 // The most requests that an endpoint with this limit may receive within four seconds.
-constexpr double mostInFourSeconds(double perSecond) { return 1.5 * 4 * perSecond + 5; }
+constexpr double maxRequestsInFourSeconds(double perSecond) { return 1.5 * 4 * perSecond + 5; }
 
 std::string idOf(const std::string& request)
 {
@@ -31,17 +31,17 @@
 
 ScriptedConnection::OnRequest answersWith(const std::string& headerLines)
 {
-    return [headerLines](ScriptedConnection& asker, const std::string& request) {
-        asker.answer(200, signedHeadOf(request) + headerLines, "ok");
+    return [headerLines](ScriptedConnection& connection, const std::string& request) {
+        connection.answer(200, signedHeadOf(request) + headerLines, "ok");
     };
 }
 
 ScriptedConnection::OnRequest streamsWith(const std::string& headerLines)
 {
-    return [headerLines](ScriptedConnection& asker, const std::string& request) {
-        asker.beginStream(signedHeadOf(request) + headerLines);
-        asker.sendEvent(1);
-        asker.endStream();
+    return [headerLines](ScriptedConnection& connection, const std::string& request) {
+        connection.beginStream(signedHeadOf(request) + headerLines);
+        connection.sendEvent(1);
+        connection.endStream();
     };
 }
 
@@ -94,37 +94,37 @@
     }
 };
 
-TEST(EndpointLimit, IsKeptByCallsThatAnotherEndpointCanServe)
+TEST(EndpointLimit, CallsThatAnotherEndpointCanServeDoNotExceedIt)
 {
-    auto& inNeed = relay->addEndpoint("e1");
-    inNeed.onRequest(answersWith("Server-Limit: 1\r\n"));
+    auto& limitedEndpoint = relay->addEndpoint("e1");
+    limitedEndpoint.onRequest(answersWith("Server-Limit: 1\r\n"));
     relay->addEndpoint("e2").onRequest(answersWith(""));
     ready();
     // The first requests are sent before any response can state the limit.
     serveTogether("/once/1", 4);
-    inNeed.forgetRequests();
+    limitedEndpoint.forgetRequests();
     serveInRounds("/once/1");
-    CHECK_TEXT(static_cast<double>(inNeed.requests().size()) <= mostInFourSeconds(1),
-        ("in under four seconds it got " + std::to_string(inNeed.requests().size())).c_str());
+    CHECK_TEXT(static_cast<double>(limitedEndpoint.requests().size()) <= maxRequestsInFourSeconds(1),
+        ("requests received in less than four seconds: " + std::to_string(limitedEndpoint.requests().size())).c_str());
 }
 
-TEST(EndpointLimit, IsKeptByStreamsThatAnotherEndpointCanServe)
+TEST(EndpointLimit, StreamsThatAnotherEndpointCanServeDoNotExceedIt)
 {
-    auto& inNeed = relay->addEndpoint("e1");
-    inNeed.onRequest(streamsWith("Server-Limit: 1\r\n"));
+    auto& limitedEndpoint = relay->addEndpoint("e1");
+    limitedEndpoint.onRequest(streamsWith("Server-Limit: 1\r\n"));
     relay->addEndpoint("e2").onRequest(streamsWith(""));
     ready();
     serveTogether("/stream/1", 4);
-    inNeed.forgetRequests();
+    limitedEndpoint.forgetRequests();
     serveInRounds("/stream/1");
-    CHECK_TEXT(static_cast<double>(inNeed.requests().size()) <= mostInFourSeconds(1),
-        ("in under four seconds it got " + std::to_string(inNeed.requests().size())).c_str());
+    CHECK_TEXT(static_cast<double>(limitedEndpoint.requests().size()) <= maxRequestsInFourSeconds(1),
+        ("requests received in less than four seconds: " + std::to_string(limitedEndpoint.requests().size())).c_str());
 }
 
 // Guards against refusing a call at once because one endpoint's limit is spent, while another endpoint is only full for
 // a moment. The call was refused with the five seconds of an endpoint that takes a request every five seconds, although
 // the full endpoint had capacity again within the call's deadline.
-TEST(EndpointLimit, DoesNotKeepACallFromWaitingForAFullEndpointBesideIt)
+TEST(EndpointLimit, ACallStillWaitsForAnotherEndpointThatIsFullForAMoment)
 {
     relay->addEndpoint("e1").onRequest(answersWith("Server-Limit: 0.2\r\n"));
     auto& full = relay->addEndpoint("e2");
@@ -132,12 +132,12 @@
     ready();
     // Calls until the limit is known and used up.
     serveInRounds("/once/1");
-    int turnedAway = 0;
-    full.onRequest([&turnedAway](ScriptedConnection& asker, const std::string& request) {
-        if (++turnedAway <= 8)
-            asker.answer(503, "X-Request-Id: " + idOf(request) + "\r\nX-Not-Executed: full\r\n", "");
+    int rejected = 0;
+    full.onRequest([&rejected](ScriptedConnection& connection, const std::string& request) {
+        if (++rejected <= 8)
+            connection.answer(503, "X-Request-Id: " + idOf(request) + "\r\nX-Not-Executed: full\r\n", "");
         else
-            answersWith("")(asker, request);
+            answersWith("")(connection, request);
     });
     serveTogether("/once/1", 4, { { "X-Deadline-Ms", "1500" } });
 }
--- a/test/EndpointRestTest.cpp
+++ b/test/EndpointRestTest.cpp
@@ -23,29 +23,29 @@
     return "X-Request-Id: " + idOf(request) + "\r\nX-Response-Signature: s\r\n";
 }
 
-void answerWhole(ScriptedConnection& asker, const std::string& request)
+void answerWhole(ScriptedConnection& connection, const std::string& request)
 {
-    asker.answer(200, signedHeadOf(request), "ok");
+    connection.answer(200, signedHeadOf(request), "ok");
 }
 
-void answerStream(ScriptedConnection& asker, const std::string& request)
+void answerStream(ScriptedConnection& connection, const std::string& request)
 {
-    asker.beginStream(signedHeadOf(request));
-    asker.sendEvent(1);
-    asker.endStream();
+    connection.beginStream(signedHeadOf(request));
+    connection.sendEvent(1);
+    connection.endStream();
 }
 
 ScriptedConnection::OnRequest rejectsWith(const std::string& headerLines)
 {
-    return [headerLines](ScriptedConnection& asker, const std::string& request) {
-        asker.answer(503, "X-Request-Id: " + idOf(request) + "\r\nX-Not-Executed: shed\r\n" + headerLines, "");
+    return [headerLines](ScriptedConnection& connection, const std::string& request) {
+        connection.answer(503, "X-Request-Id: " + idOf(request) + "\r\nX-Not-Executed: shed\r\n" + headerLines, "");
     };
 }
 
 ScriptedConnection::OnRequest answersWith(const std::string& headerLines)
 {
-    return [headerLines](ScriptedConnection& asker, const std::string& request) {
-        asker.answer(200, signedHeadOf(request) + headerLines, "ok");
+    return [headerLines](ScriptedConnection& connection, const std::string& request) {
+        connection.answer(200, signedHeadOf(request) + headerLines, "ok");
     };
 }
 
@@ -101,26 +101,27 @@
     }
 
     // Sends calls for 800 ms after a rejection that asks for a back-off of 1 s.
-    void checkRest(const std::string& path, const ScriptedConnection::OnRequest& served)
+    void checkBackOff(const std::string& path, const ScriptedConnection::OnRequest& served)
     {
-        auto& resting = relay->addEndpoint("e1");
-        resting.onRequest(rejectsWith("Retry-After: 1\r\n"));
+        auto& backingOff = relay->addEndpoint("e1");
+        backingOff.onRequest(rejectsWith("Retry-After: 1\r\n"));
         relay->addEndpoint("e2").onRequest(served);
         ready();
-        callUntilReached(path, resting);
-        resting.forgetRequests();
+        callUntilReached(path, backingOff);
+        backingOff.forgetRequests();
         callFor(path, Milliseconds { 800 });
-        LONGS_EQUAL_TEXT(0, resting.requests().size(), "requests to an endpoint that had asked for 1 s of rest");
+        LONGS_EQUAL_TEXT(
+            0, backingOff.requests().size(), "requests to an endpoint that had asked for a back-off of 1 s");
     }
 };
 
-TEST(EndpointRest, GetsNoCallUntilRetryAfterHasPassed) { checkRest("/once/1", answerWhole); }
+TEST(EndpointRest, GetsNoCallBeforeRetryAfterHasPassed) { checkBackOff("/once/1", answerWhole); }
 
-TEST(EndpointRest, GetsNoIdempotentCallUntilRetryAfterHasPassed) { checkRest("/again/1", answerWhole); }
+TEST(EndpointRest, GetsNoIdempotentCallBeforeRetryAfterHasPassed) { checkBackOff("/again/1", answerWhole); }
 
-TEST(EndpointRest, GetsNoStreamUntilRetryAfterHasPassed) { checkRest("/stream/1", answerStream); }
+TEST(EndpointRest, GetsNoStreamBeforeRetryAfterHasPassed) { checkBackOff("/stream/1", answerStream); }
 
-TEST(EndpointRest, GetsNoCallAfterItHasSaidThatItLeaves)
+TEST(EndpointRest, GetsNoCallAfterAnnouncingItsShutdown)
 {
     auto& leaving = relay->addEndpoint("e1");
     leaving.onRequest(answersWith("Server-Leaving: 1\r\n"));
@@ -129,10 +130,10 @@
     callUntilReached("/once/1", leaving);
     leaving.forgetRequests();
     callFor("/once/1", Milliseconds { 800 });
-    LONGS_EQUAL_TEXT(0, leaving.requests().size(), "requests to an endpoint that had said that it leaves");
+    LONGS_EQUAL_TEXT(0, leaving.requests().size(), "requests to an endpoint that had announced its shutdown");
 }
 
-TEST(EndpointRest, TellsCallersAtOnceWhenTheFirstOfAllRestingEndpointsIsBack)
+TEST(EndpointRest, CallersAreRefusedAtOnceWithTheEarliestRetryTimeWhenAllEndpointsBackOff)
 {
     auto& first = relay->addEndpoint("e1");
     first.onRequest(rejectsWith("Retry-After: 3\r\n"));
@@ -149,12 +150,12 @@
         const auto comeBackIn = std::stod(caller->header("Retry-After"));
         CHECK_TEXT(comeBackIn > 2.5 && comeBackIn < 3.5, caller->header("Retry-After").c_str());
     }
-    CHECK_TEXT(clock.now() - begin < Milliseconds { 700 }, "they were held although nobody could serve them");
+    CHECK_TEXT(clock.now() - begin < Milliseconds { 700 }, "the calls were held although no endpoint could serve them");
     LONGS_EQUAL(1, first.requests().size());
     LONGS_EQUAL(1, second.requests().size());
 }
 
-TEST(EndpointRest, IsWaitedForByACallThatHasTheTime)
+TEST(EndpointRest, ACallWithEnoughTimeWaitsForItsEnd)
 {
     auto& endpoint = relay->addEndpoint("e1");
     endpoint.onRequest(rejectsWith("Retry-After: 0.3\r\n"));
@@ -171,13 +172,13 @@
 }
 
 // The source of the list may lose an endpoint's entry for some seconds while the endpoint is alive and backs off.
-TEST(EndpointRest, IsKeptByAnEndpointWhoseEntryLapsesAndReturns)
+TEST(EndpointRest, SurvivesTheExpiryAndReturnOfTheEndpointsEntry)
 {
-    auto& resting = relay->addEndpoint("e1");
-    resting.onRequest(rejectsWith("Retry-After: 5\r\n"));
+    auto& backingOff = relay->addEndpoint("e1");
+    backingOff.onRequest(rejectsWith("Retry-After: 5\r\n"));
     relay->addEndpoint("e2").onRequest(answerWhole);
     ready();
-    callUntilReached("/once/1", resting);
+    callUntilReached("/once/1", backingOff);
     auto& directory = relay->daemon().directory();
     const auto now = relay->daemon().clock().now();
     directory.remove("e1", now);
@@ -185,36 +186,36 @@
     CHECK_TEXT(!directory.find("e1"), "the entry should have expired");
     relay->list();
     CHECK(directory.find("e1") != nullptr);
-    resting.forgetRequests();
+    backingOff.forgetRequests();
     callFor("/once/1", Milliseconds { 300 });
-    LONGS_EQUAL(0, resting.requests().size());
+    LONGS_EQUAL(0, backingOff.requests().size());
 }
 
-TEST(EndpointRest, SparesTheEngineQuestionsAfterItsLoad)
+TEST(EndpointRest, GetsNoLoadQueries)
 {
     relay->useEngines();
-    auto& resting = relay->addEndpoint("e1");
-    resting.onRequest(rejectsWith("Retry-After: 2\r\n"));
+    auto& backingOff = relay->addEndpoint("e1");
+    backingOff.onRequest(rejectsWith("Retry-After: 2\r\n"));
     for (const auto* id : { "e2", "e3" })
-        relay->addEndpoint(id).onRequest([](ScriptedConnection& asker, const std::string& request) {
+        relay->addEndpoint(id).onRequest([](ScriptedConnection& connection, const std::string& request) {
             if (request.find("/api/report") != std::string::npos)
-                asker.answer(200, "", R"({"waiting":0,"running":0,"runs":[]})");
+                connection.answer(200, "", R"({"waiting":0,"running":0,"runs":[]})");
             else
-                answerStream(asker, request);
+                answerStream(connection, request);
         });
     ready();
-    callUntilReached("/stream/1", resting);
-    resting.forgetRequests();
+    callUntilReached("/stream/1", backingOff);
+    backingOff.forgetRequests();
     callFor("/stream/1", Milliseconds { 300 });
-    LONGS_EQUAL(0, resting.requests().size());
+    LONGS_EQUAL(0, backingOff.requests().size());
 }
 
 // Without a signature or the header of a rejection, the response may come from any process at the address.
-TEST(EndpointRest, IsNotTakenFromAnAnswerThatIsNotTheEndpoints)
+TEST(EndpointRest, IsIgnoredInUnsignedResponses)
 {
     auto& endpoint = relay->addEndpoint("e1");
-    endpoint.onRequest([](ScriptedConnection& asker, const std::string& request) {
-        asker.answer(503, "X-Request-Id: " + idOf(request) + "\r\nRetry-After: 60\r\nServer-Leaving: 1\r\n", "");
+    endpoint.onRequest([](ScriptedConnection& connection, const std::string& request) {
+        connection.answer(503, "X-Request-Id: " + idOf(request) + "\r\nRetry-After: 60\r\nServer-Leaving: 1\r\n", "");
     });
     ready();
     callAndWait("/once/1");
@@ -226,27 +227,27 @@
 TEST(EndpointRest, GetsNoHedgedCall)
 {
     relay->settings.shortestHedgeDelay = relay->settings.longestHedgeDelay = Milliseconds { 20 };
-    auto& resting = relay->addEndpoint("e1");
-    resting.onRequest(rejectsWith("Retry-After: 5\r\n"));
+    auto& backingOff = relay->addEndpoint("e1");
+    backingOff.onRequest(rejectsWith("Retry-After: 5\r\n"));
     auto& slow = relay->addEndpoint("e2");
     slow.onRequest(answerWhole);
     ready();
-    callUntilReached("/again/1", resting);
-    resting.forgetRequests();
+    callUntilReached("/again/1", backingOff);
+    backingOff.forgetRequests();
     slow.onRequest([](ScriptedConnection&, const std::string&) {});
     const auto caller = relay->call("/again/1", { { "X-Deadline-Ms", "200" } }, "slow");
     CHECK(relay->runUntil([&] { return caller->isWhole || caller->isBroken; }));
-    LONGS_EQUAL(0, resting.requests().size());
+    LONGS_EQUAL(0, backingOff.requests().size());
 }
 
-TEST(EndpointRest, GetsNoQuestionWhetherItLives)
+TEST(EndpointRest, GetsNoProbes)
 {
     relay->settings.probeAfterSilence = relay->settings.probeAfterSilenceInDoubt = Milliseconds { 10 };
     auto& engine = relay->addEndpoint("e1");
     // Its stream stops after the first event.
-    engine.onRequest([](ScriptedConnection& asker, const std::string& request) {
-        asker.beginStream(signedHeadOf(request));
-        asker.sendEvent(1);
+    engine.onRequest([](ScriptedConnection& connection, const std::string& request) {
+        connection.beginStream(signedHeadOf(request));
+        connection.sendEvent(1);
     });
     ready();
     const auto stream = relay->call("/stream/1", {}, "stream");
@@ -262,7 +263,7 @@
 
 // A stream that no engine accepts within the time that it can wait is refused at once. The retry times of such streams
 // are spread over an interval after the back-off ends.
-TEST(EndpointRest, SpreadsTheReturnOfRefusedStreams)
+TEST(EndpointRest, SpreadsTheRetryTimesOfRefusedStreams)
 {
     relay->addEndpoint("e1").onRequest(rejectsWith("Retry-After: 3\r\n"));
     ready();
@@ -272,5 +273,5 @@
         CHECK(relay->runUntil([&] { return caller->isWhole || caller->isBroken; }));
         times.insert(caller->header("Retry-After"));
     }
-    CHECK_TEXT(std::stod(*times.rbegin()) - std::stod(*times.begin()) > 0.03, "they all come back at one instant");
+    CHECK_TEXT(std::stod(*times.rbegin()) - std::stod(*times.begin()) > 0.03, "the retry times should be spread");
 }
--- a/test/EventStreamCallTest.cpp
+++ b/test/EventStreamCallTest.cpp
@@ -47,7 +47,7 @@
         };
     }
 
-    static ScriptedConnection::OnRequest sendsAndBreaks(int last)
+    static ScriptedConnection::OnRequest sendsAndResets(int last)
     {
         return [last](ScriptedConnection& asker, const std::string&) {
             asker.beginStream(signedHead);
@@ -59,7 +59,7 @@
     }
 };
 
-TEST(EventStreamCall, PassesEventsOnUnchanged)
+TEST(EventStreamCall, ForwardsEventsUnchanged)
 {
     relay->addEndpoint("e1").onRequest(sends(1, 3));
     ready();
@@ -70,23 +70,24 @@
     STRCMP_EQUAL("s", caller->header("X-Response-Signature").c_str());
 }
 
-TEST(EventStreamCall, GoesOnFromTheCopyBehindTheLastWholeEvent)
+TEST(EventStreamCall, ResumesFromTheCopyAfterTheLastCompleteEvent)
 {
-    relay->addEndpoint("e1", "a").onRequest(sendsAndBreaks(2));
+    relay->addEndpoint("e1", "a").onRequest(sendsAndResets(2));
     auto& holder = relay->addEndpoint("e2", "b");
     holder.onRequest(sends(3, 4, "X-Request-Id: r1\r\nX-Response-Signature: t\r\n"));
     ready();
     const auto caller = relay->call("/stream/1");
     await(caller);
     STRCMP_EQUAL(events(1, 4).c_str(), caller->body.c_str());
-    STRCMP_EQUAL_TEXT("s", caller->header("X-Response-Signature").c_str(), "the head is that of the first run");
+    STRCMP_EQUAL_TEXT(
+        "s", caller->header("X-Response-Signature").c_str(), "the response must keep the head of the first run");
     CHECK(holder.hasAsked(0, "Last-Event-Id: 2\r\n"));
     CHECK(holder.hasAsked(0, "/r1\r\n"));
 }
 
 // Guards against losing the copy when its engine restarts under a new id. While the list of endpoints was unavailable
 // the engine restarted and received the copy; when the list returned, it removed the engine's earlier id.
-TEST(EventStreamCall, FindsItsCopyAtAnEngineThatTheListHasRenamed)
+TEST(EventStreamCall, FindsItsCopyAtAnEngineThatIsListedUnderANewId)
 {
     auto& engine = relay->addEndpoint("e1", "a");
     engine.onRequest([](ScriptedConnection& asker, const std::string&) {
@@ -104,13 +105,13 @@
     engine.connections().front()->reset();
     await(caller);
     STRCMP_EQUAL(events(1, 4).c_str(), caller->body.c_str());
-    CHECK_TEXT(holder.hasAsked(0, "X-Expect-Instance: e9\r\n"), "the engine goes by its present id");
+    CHECK_TEXT(holder.hasAsked(0, "X-Expect-Instance: e9\r\n"), "the request must name the engine's current id");
     CHECK(holder.hasAsked(0, "/r1\r\n"));
 }
 
-TEST(EventStreamCall, BeginsAnewElsewhereWhenTheCopyIsNotThere)
+TEST(EventStreamCall, RestartsAtAnotherEngineWhenTheCopyIsMissing)
 {
-    relay->addEndpoint("e1", "a").onRequest(sendsAndBreaks(2));
+    relay->addEndpoint("e1", "a").onRequest(sendsAndResets(2));
     int asked = 0;
     relay->addEndpoint("e2", "b").onRequest([&asked](ScriptedConnection& asker, const std::string& request) {
         if (request.find("Kv-From") != std::string::npos) {
@@ -127,7 +128,7 @@
     LONGS_EQUAL(1, asked);
 }
 
-TEST(EventStreamCall, MovesFromAnEngineThatIsSilentAndAnswersNoQuestion)
+TEST(EventStreamCall, MovesFromASilentEngineThatAnswersNoProbe)
 {
     relay->settings.probeAfterSilence = Milliseconds { 10 };
     relay->settings.probeTimeout = Milliseconds { 10 };
@@ -146,9 +147,9 @@
     CHECK(relay->runUntil([&] { return silent.connections()[0]->isClosedByPeer(); }));
 }
 
-TEST(EventStreamCall, NeitherRepeatsNorSkipsEventsOfARunThatGoesOnAtTheWrongPlace)
+TEST(EventStreamCall, NeitherRepeatsNorSkipsEventsWhenARunResumesAtTheWrongPosition)
 {
-    relay->addEndpoint("e1", "a").onRequest(sendsAndBreaks(2));
+    relay->addEndpoint("e1", "a").onRequest(sendsAndResets(2));
     int runs = 0;
     relay->addEndpoint("e2", "b").onRequest([&runs](ScriptedConnection& asker, const std::string& request) {
         sends(++runs == 1 ? 2 : 3, 4)(asker, request);
@@ -159,7 +160,7 @@
     STRCMP_EQUAL(events(1, 4).c_str(), caller->body.c_str());
 }
 
-TEST(EventStreamCall, AnEndInTheMiddleOfAnEventIsNoEnd)
+TEST(EventStreamCall, AStreamThatEndsWithinAnEventIsResumed)
 {
     relay->addEndpoint("e1", "a").onRequest([](ScriptedConnection& asker, const std::string&) {
         asker.beginStream(signedHead);
@@ -174,7 +175,7 @@
     STRCMP_EQUAL(events(1, 2).c_str(), caller->body.c_str());
 }
 
-TEST(EventStreamCall, ACallerWhoComesBackGetsWhatItLacks)
+TEST(EventStreamCall, AReconnectingCallerGetsTheEventsThatItLacks)
 {
     auto& engine = relay->addEndpoint("e1");
     engine.onRequest(sends(8, 9));
@@ -185,9 +186,9 @@
     CHECK(engine.hasAsked(0, "Last-Event-Id: 7\r\n"));
 }
 
-TEST(EventStreamCall, BreaksOffVisiblyWhenNoEngineCanGoOn)
+TEST(EventStreamCall, AbortsTheResponseWhenNoEngineCanResume)
 {
-    relay->addEndpoint("e1", "a").onRequest(sendsAndBreaks(1));
+    relay->addEndpoint("e1", "a").onRequest(sendsAndResets(1));
     relay->addEndpoint("e2", "b").onRequest([](ScriptedConnection& asker, const std::string&) { asker.reset(); });
     ready();
     const auto caller = relay->call("/stream/1");
@@ -196,7 +197,7 @@
     STRCMP_EQUAL(events(1, 1).c_str(), caller->body.c_str());
 }
 
-TEST(EventStreamCall, RefusesAtOnceWhenNoEngineTookIt)
+TEST(EventStreamCall, RefusesAtOnceWhenNoEngineIsAvailable)
 {
     relay->settings.waitForEndpoint = Milliseconds { 0 };
     ready();
@@ -207,7 +208,7 @@
 }
 
 // Processing 9000 tokens takes 1.8 s at the rate that is assumed until calls have been measured.
-TEST(EventStreamCall, RefusesAtOnceARequestThatNoEngineCanEndInTheTimeThatIsLeft)
+TEST(EventStreamCall, RefusesAtOnceARequestThatNoEngineCanFinishInTime)
 {
     auto& engine = relay->addEndpoint("e1");
     engine.onRequest(sends(1, 3));
@@ -215,12 +216,12 @@
     const auto caller = relay->call("/stream/1", { { "X-Deadline-Ms", "1000" }, { "X-Token-Usage", "9000,10" } });
     await(caller);
     LONGS_EQUAL(503, caller->head.status);
-    LONGS_EQUAL_TEXT(0, engine.requests().size(), "a request that is refused has not run");
+    LONGS_EQUAL_TEXT(0, engine.requests().size(), "a refused request must not reach an engine");
     const auto comeBackIn = std::stod(caller->header("Retry-After"));
-    CHECK_TEXT(comeBackIn > 0.25 && comeBackIn <= 1.0, "to come back within the same time would end no better");
+    CHECK_TEXT(comeBackIn > 0.25 && comeBackIn <= 1.0, "a retry with the same time left would fail as well");
 }
 
-TEST(EventStreamCall, CountsOnlyTheEventsThatACallerWhoComesBackStillLacks)
+TEST(EventStreamCall, TimeCheckCountsOnlyTheEventsThatAReconnectingCallerLacks)
 {
     auto& engine = relay->addEndpoint("e1");
     engine.onRequest(sends(95, 100));
@@ -235,7 +236,7 @@
     STRCMP_EQUAL(events(95, 100).c_str(), rest->body.c_str());
 }
 
-TEST(EventStreamCall, MovesARunWhoseCopyHasDied)
+TEST(EventStreamCall, MovesARunWhoseCopyWasLost)
 {
     relay->settings.relocateUnlessDoneWithin = Milliseconds { 0 };
     relay->settings.probeAfterSilenceInDoubt = Milliseconds { 5 };
@@ -256,11 +257,11 @@
         if (request.find("\"last\"") != std::string::npos)
             running->close();
     });
-    const auto goesOn = [](ScriptedConnection& asker, const std::string& request) { sends(2, 3)(asker, request); };
+    const auto resumes = [](ScriptedConnection& asker, const std::string& request) { sends(2, 3)(asker, request); };
     auto& second = relay->addEndpoint("e2", "b");
     auto& third = relay->addEndpoint("e3", "c");
-    second.onRequest(goesOn);
-    third.onRequest(goesOn);
+    second.onRequest(resumes);
+    third.onRequest(resumes);
     ready();
     const auto caller = relay->call("/stream/1");
     CHECK(relay->runUntil([&] { return !caller->body.empty(); }));
@@ -268,12 +269,13 @@
     relay->daemon().directory().remove(port != std::string::npos ? "e2" : "e3", relay->daemon().clock().now());
     await(caller);
     STRCMP_EQUAL(events(1, 3).c_str(), caller->body.c_str());
-    LONGS_EQUAL_TEXT(2, moves.size(), "a first copy while the run goes on, and the rest once it has stopped");
+    LONGS_EQUAL_TEXT(
+        2, moves.size(), "expected one copy while the run goes on and one of the remainder after it has stopped");
     CHECK(second.hasAsked(0, "/h7\r\n") || third.hasAsked(0, "/h7\r\n"));
 }
 
 // A response without a length ends when its connection closes, and a run that is stopped to be moved closes it too.
-TEST(EventStreamCall, TakesTheEndOfAStoppedRunForNoEndOfItsAnswer)
+TEST(EventStreamCall, DoesNotTakeTheCloseOfAStoppedRunForTheEndOfTheAnswer)
 {
     relay->settings.relocateUnlessDoneWithin = Milliseconds { 0 };
     relay->settings.probeAfterSilenceInDoubt = Milliseconds { 5 };
@@ -304,7 +306,7 @@
     STRCMP_EQUAL(events(1, 3).c_str(), caller->body.c_str());
 }
 
-TEST(EventStreamCall, StopsTheEnginesWorkWhenTheCallerLeaves)
+TEST(EventStreamCall, ClosesTheEnginesConnectionWhenTheCallerDisconnects)
 {
     auto& engine = relay->addEndpoint("e1");
     engine.onRequest([](ScriptedConnection& asker, const std::string&) {
@@ -318,27 +320,27 @@
     CHECK(relay->runUntil([&] { return engine.connections()[0]->isClosedByPeer(); }));
 }
 
-TEST(EventStreamCall, AnEngineThatCannotBeConnectedToCostsNoRetry)
+TEST(EventStreamCall, AFailedConnectionTakesNoRetry)
 {
     relay->settings.retryRatio = 0;
     relay->settings.retrySlack = 0;
-    auto& dead = relay->addEndpoint("e1", "a");
+    auto& crashed = relay->addEndpoint("e1", "a");
     relay->addEndpoint("e2", "b").onRequest(sends(1, 3));
     ready();
-    dead.crash();
+    crashed.crash();
     const auto caller = relay->call("/stream/1");
     await(caller);
     STRCMP_EQUAL(events(1, 3).c_str(), caller->body.c_str());
 }
 
-TEST(EventStreamCall, ARunThatWasLostCostsARetry)
+TEST(EventStreamCall, AFailedRunTakesARetry)
 {
     relay->settings.retryRatio = 0;
     relay->settings.retrySlack = 0;
-    relay->addEndpoint("e1", "a").onRequest(sendsAndBreaks(2));
+    relay->addEndpoint("e1", "a").onRequest(sendsAndResets(2));
     relay->addEndpoint("e2", "b").onRequest(sends(3, 4));
     ready();
     const auto caller = relay->call("/stream/1");
     await(caller);
-    CHECK_TEXT(caller->isBroken, "without a retry the stream cannot go on");
+    CHECK_TEXT(caller->isBroken, "without a retry the stream must break off");
 }
--- a/test/RelayConfigurationTest.cpp
+++ b/test/RelayConfigurationTest.cpp
@@ -19,43 +19,43 @@
         builder.addRoute(route);
     }
 
-    static std::string found(const RelayConfiguration& configuration, const char* host, const char* path)
+    static std::string routeNameFor(const RelayConfiguration& configuration, const char* host, const char* path)
     {
         const auto route = configuration.findRoute(host, path);
         return route ? route->name : "none";
     }
 };
 
-TEST(RelayConfiguration, FindsTheLongestPrefixOfTheHost)
+TEST(RelayConfiguration, FindsTheHostsRouteWithTheLongestPrefix)
 {
     addRoute("short", "a.example", "/x/");
     addRoute("long", "a.example", "/x/y/");
     addRoute("other", "b.example", "/x/y/z/");
     const auto configuration = builder.version(3).build();
-    STRCMP_EQUAL("short", found(*configuration, "a.example", "/x/1").c_str());
-    STRCMP_EQUAL("long", found(*configuration, "a.example", "/x/y/z/1").c_str());
-    STRCMP_EQUAL("long", found(*configuration, "A.Example:80", "/x/y/").c_str());
-    STRCMP_EQUAL("other", found(*configuration, "b.example", "/x/y/z/1").c_str());
+    STRCMP_EQUAL("short", routeNameFor(*configuration, "a.example", "/x/1").c_str());
+    STRCMP_EQUAL("long", routeNameFor(*configuration, "a.example", "/x/y/z/1").c_str());
+    STRCMP_EQUAL("long", routeNameFor(*configuration, "A.Example:80", "/x/y/").c_str());
+    STRCMP_EQUAL("other", routeNameFor(*configuration, "b.example", "/x/y/z/1").c_str());
     LONGS_EQUAL(3, configuration->routeCount());
 }
 
-TEST(RelayConfiguration, FindsNoRouteOutsideAPrefix)
+TEST(RelayConfiguration, FindsNoRouteForUnmatchedPathsAndHosts)
 {
     addRoute("r", "a.example", "/x/");
     const auto configuration = builder.build();
-    STRCMP_EQUAL("none", found(*configuration, "a.example", "/x").c_str());
-    STRCMP_EQUAL("none", found(*configuration, "a.example", "/xy/1").c_str());
-    STRCMP_EQUAL("none", found(*configuration, "b.example", "/x/1").c_str());
-    STRCMP_EQUAL("none", found(*configuration, "", "").c_str());
+    STRCMP_EQUAL("none", routeNameFor(*configuration, "a.example", "/x").c_str());
+    STRCMP_EQUAL("none", routeNameFor(*configuration, "a.example", "/xy/1").c_str());
+    STRCMP_EQUAL("none", routeNameFor(*configuration, "b.example", "/x/1").c_str());
+    STRCMP_EQUAL("none", routeNameFor(*configuration, "", "").c_str());
 }
 
-TEST(RelayConfiguration, ARouteForTheWholeHostTakesEveryPath)
+TEST(RelayConfiguration, ARouteForTheWholeHostMatchesEveryPath)
 {
     addRoute("all", "a.example", "/");
-    STRCMP_EQUAL("all", found(*builder.build(), "a.example", "/x/y").c_str());
+    STRCMP_EQUAL("all", routeNameFor(*builder.build(), "a.example", "/x/y").c_str());
 }
 
-TEST(RelayConfiguration, KnowsTheOrganisationOfAKey)
+TEST(RelayConfiguration, FindsTheOrganisationOfAKey)
 {
     const auto configuration = builder.addKey("k1", "acme").addKey("k2", "acme").build();
     CHECK(configuration->hasOrganisations());
@@ -64,7 +64,7 @@
     CHECK(!configuration->findOrganisation("k3"));
 }
 
-TEST(RelayConfiguration, ABuilderIsEmptyAfterBuild)
+TEST(RelayConfiguration, TheBuilderIsEmptyAfterBuild)
 {
     addRoute("r", "a.example", "/x/");
     builder.build();
--- a/test/RelayHandlerTest.cpp
+++ b/test/RelayHandlerTest.cpp
@@ -60,7 +60,7 @@
     checkNothingReachedTheEndpoint();
 }
 
-TEST(RelayHandler, RefusesAnUnknownKeyAndPassesAKnownOneOnAsItsOrganisation)
+TEST(RelayHandler, RefusesAnUnknownKeyAndReplacesAKnownOneByItsOrganisation)
 {
     LONGS_EQUAL(401, statusOf("/closed/1"));
     LONGS_EQUAL(401, statusOf("/closed/1", { { "Api-Key", "k2" } }));
@@ -71,7 +71,7 @@
     CHECK_FALSE(endpoint->hasAsked(0, "forged"));
 }
 
-TEST(RelayHandler, RefusesFieldsThatCannotBeRead)
+TEST(RelayHandler, RefusesMalformedFields)
 {
     LONGS_EQUAL(400, statusOf("/open/1", {}, ""));
     LONGS_EQUAL(400, statusOf("/open/1", { { "Last-Event-Id", "twelve" } }));
@@ -79,7 +79,7 @@
     checkNothingReachedTheEndpoint();
 }
 
-TEST(RelayHandler, NeverPassesAnAmbiguousRequestOn)
+TEST(RelayHandler, NeverForwardsAnAmbiguousRequest)
 {
     const std::string start = "POST /open/1 HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\n";
     for (const auto& rest : { "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -89,7 +89,7 @@
     checkNothingReachedTheEndpoint();
 }
 
-TEST(RelayHandler, RefusesAHeadOrABodyThatIsTooLarge)
+TEST(RelayHandler, RefusesAnOversizedHeadOrBody)
 {
     const std::string start = "POST /open/1 HTTP/1.1\r\nHost: h\r\n";
     STRCMP_EQUAL("HTTP/1.1 431 Request Header Fields Too Large",
@@ -98,15 +98,15 @@
     checkNothingReachedTheEndpoint();
 }
 
-TEST(RelayHandler, SaysThatItKnowsNoConfigurationYet)
+TEST(RelayHandler, AnswersUnavailableWithoutAConfiguration)
 {
     RelayHarness fresh;
     const auto caller = fresh.call("/open/1");
     CHECK(fresh.runUntil([&] { return caller->isWhole; }));
-    LONGS_EQUAL_TEXT(503, caller->head.status, "a VM that knows no route must not say that there is none");
+    LONGS_EQUAL_TEXT(503, caller->head.status, "a VM without a configuration must answer 503, not 404");
 }
 
-TEST(RelayHandler, ServesARequestThatCameBeforeTheConfigurationAndTheEndpoints)
+TEST(RelayHandler, ServesARequestThatArrivedBeforeTheConfigurationAndTheEndpoints)
 {
     RelayHarness fresh;
     fresh.addRoute("open", RequestKind::NonIdempotent, 1);
@@ -115,14 +115,15 @@
     const auto caller = fresh.call("/open/1");
     CHECK(fresh.runUntil([&] { return fresh.daemon().waitingCount() == 1; }));
     fresh.configure();
-    LONGS_EQUAL_TEXT(1, fresh.daemon().waitingCount(), "without endpoints it waits on");
+    LONGS_EQUAL_TEXT(1, fresh.daemon().waitingCount(), "without endpoints the request must keep waiting");
     fresh.list();
     CHECK(fresh.runUntil([&] { return caller->isWhole; }));
-    LONGS_EQUAL_TEXT(200, caller->head.status, "the configuration came some milliseconds after the request");
+    LONGS_EQUAL_TEXT(
+        200, caller->head.status, "the request must be served once the configuration and the endpoints are known");
     LONGS_EQUAL(0, fresh.daemon().waitingCount());
 }
 
-TEST(RelayHandler, ACallerThatLeavesBeforeTheConfigurationWaitsNoMore)
+TEST(RelayHandler, RemovesAWaitingRequestWhenItsCallerDisconnects)
 {
     RelayHarness fresh;
     const auto caller = fresh.call("/open/1");
@@ -131,7 +132,7 @@
     CHECK(fresh.runUntil([&] { return fresh.daemon().waitingCount() == 0; }));
 }
 
-TEST(RelayHandler, AConfigurationNeverGoesBack)
+TEST(RelayHandler, IgnoresAnOlderConfiguration)
 {
     RelayConfigurationBuilder older;
     CHECK_FALSE(relay->daemon().applyConfiguration(older.version(0).build()));
--- a/test/ScriptedEndpoint.h
+++ b/test/ScriptedEndpoint.h
@@ -143,10 +143,10 @@
             if (error)
                 return;
             const auto connection = std::make_shared<ScriptedConnection>(
-                std::move(socket), [this](ScriptedConnection& asker, const std::string& request) {
+                std::move(socket), [this](ScriptedConnection& client, const std::string& request) {
                     m_requests.push_back(request);
                     if (m_script)
-                        m_script(asker, request);
+                        m_script(client, request);
                 });
             m_connections.push_back(connection);
             connection->run();
--- a/test/WholeAnswerCallTest.cpp
+++ b/test/WholeAnswerCallTest.cpp
@@ -39,7 +39,7 @@
     }
 };
 
-TEST(WholeAnswerCall, PassesAnAnswerOnUnchanged)
+TEST(WholeAnswerCall, ForwardsAnAnswerUnchanged)
 {
     relay->addEndpoint("e1").onRequest(answers(200, "hello"));
     ready();
@@ -50,7 +50,7 @@
     STRCMP_EQUAL("s", caller->header("X-Response-Signature").c_str());
 }
 
-TEST(WholeAnswerCall, PassesAnEndpointsOwnErrorOn)
+TEST(WholeAnswerCall, ForwardsAnEndpointsErrorAnswer)
 {
     relay->addEndpoint("e1").onRequest(answers(500, "oops"));
     ready();
@@ -60,7 +60,7 @@
     STRCMP_EQUAL("oops", caller->body.c_str());
 }
 
-TEST(WholeAnswerCall, NeverSendsACallAgainThatMayHaveRun)
+TEST(WholeAnswerCall, NeverResendsANonIdempotentCallThatMayHaveRun)
 {
     const auto reset = [](ScriptedConnection& asker, const std::string&) { asker.reset(); };
     auto& first = relay->addEndpoint("e1");
@@ -71,37 +71,37 @@
     const auto caller = relay->call("/once/1");
     await(caller);
     LONGS_EQUAL_TEXT(
-        502, caller->head.status, "a call that may have run is no refusal: 503 would promise that it has not");
+        502, caller->head.status, "a call that may have run must get 502: 503 would state that it has not run");
     LONGS_EQUAL(1, first.requests().size() + second.requests().size());
 }
 
-TEST(WholeAnswerCall, GoesOnElsewhereWhenTheFirstEndpointTookNoConnection)
+TEST(WholeAnswerCall, TriesAnotherEndpointWhenTheFirstRefusesTheConnection)
 {
-    auto& dead = relay->addEndpoint("e1");
+    auto& crashed = relay->addEndpoint("e1");
     relay->addEndpoint("e2", "b").onRequest(answers(200, "hello"));
-    dead.crash();
+    crashed.crash();
     ready();
     const auto caller = relay->call("/once/1");
     await(caller);
     LONGS_EQUAL(200, caller->head.status);
 }
 
-TEST(WholeAnswerCall, RefusesAsNotRunWhenEveryEndpointTurnedItAway)
+TEST(WholeAnswerCall, RefusesAsNotRunWhenEveryEndpointRejectsTheCall)
 {
-    const auto sheds = [](ScriptedConnection& asker, const std::string&) {
+    const auto rejects = [](ScriptedConnection& asker, const std::string&) {
         asker.answer(503, "X-Request-Id: r1\r\nX-Not-Executed: 1\r\n", "");
     };
-    relay->addEndpoint("e1").onRequest(sheds);
+    relay->addEndpoint("e1").onRequest(rejects);
     ready();
     const auto caller = relay->call("/once/1", { { "X-Deadline-Ms", "120" } });
     await(caller);
     LONGS_EQUAL(503, caller->head.status);
-    const auto comeBack = std::stod(caller->header("Retry-After"));
-    CHECK_TEXT(comeBack > 0 && comeBack <= 0.04, "a third of its time is the most that a caller can wait");
+    const auto retryDelay = std::stod(caller->header("Retry-After"));
+    CHECK_TEXT(retryDelay > 0 && retryDelay <= 0.04, "the retry delay must be at most a third of the caller's time");
     STRCMP_EQUAL("not-run", caller->header("Lupinknot-Outcome").c_str());
 }
 
-TEST(WholeAnswerCall, WaitsForAPlaceWhenEveryEndpointTurnsItAway)
+TEST(WholeAnswerCall, WaitsForCapacityWhenEveryEndpointRejectsTheCall)
 {
     auto& full = relay->addEndpoint("e1");
     full.onRequest([&full](ScriptedConnection& asker, const std::string&) {
@@ -113,7 +113,7 @@
     ready();
     const auto caller = relay->call("/once/1", { { "X-Deadline-Ms", "4000" } });
     await(caller);
-    LONGS_EQUAL_TEXT(200, caller->head.status, "a place that comes free in time is worth the wait");
+    LONGS_EQUAL_TEXT(200, caller->head.status, "the call must wait for capacity that becomes free in time");
     LONGS_EQUAL(3, full.requests().size());
 }
 
@@ -130,7 +130,7 @@
     LONGS_EQUAL(0, relay->daemon().waitingCount());
 }
 
-TEST(WholeAnswerCall, ACallerThatLeavesWaitsNoMore)
+TEST(WholeAnswerCall, RemovesAWaitingCallWhenItsCallerDisconnects)
 {
     relay->configure();
     relay->list();
@@ -140,7 +140,7 @@
     CHECK(relay->runUntil([&] { return relay->daemon().waitingCount() == 0; }));
 }
 
-TEST(WholeAnswerCall, NeverWaitsWithACallThatMayHaveRun)
+TEST(WholeAnswerCall, DoesNotWaitWithACallThatMayHaveRun)
 {
     auto& endpoint = relay->addEndpoint("e1");
     endpoint.onRequest([](ScriptedConnection& asker, const std::string&) { asker.reset(); });
@@ -151,7 +151,7 @@
     LONGS_EQUAL(1, endpoint.requests().size());
 }
 
-TEST(WholeAnswerCall, SendsAnIdempotentCallElsewhereAfterABrokenAnswer)
+TEST(WholeAnswerCall, SendsAnIdempotentCallToAnotherEndpointAfterATruncatedAnswer)
 {
     const auto breaksOff = [](ScriptedConnection& asker, const std::string&) {
         asker.send("HTTP/1.1 200 OK\r\n" + signedHead + "Content-Length: 10\r\n\r\nhel");
@@ -166,7 +166,7 @@
     STRCMP_EQUAL("hello", caller->body.c_str());
 }
 
-TEST(WholeAnswerCall, PassesTheFirstErrorOnWhenTheSecondEndpointFailsToo)
+TEST(WholeAnswerCall, ForwardsTheFirstErrorWhenTheSecondEndpointFailsToo)
 {
     relay->addEndpoint("e1").onRequest(answers(500, "oops"));
     relay->addEndpoint("e2", "b").onRequest([](ScriptedConnection& asker, const std::string&) { asker.reset(); });
@@ -176,7 +176,7 @@
     LONGS_EQUAL(500, caller->head.status);
 }
 
-TEST(WholeAnswerCall, TakesNoSuccessWithoutTheEndpointsSignature)
+TEST(WholeAnswerCall, RejectsASuccessWithoutTheEndpointsSignature)
 {
     relay->addEndpoint("e1").onRequest(
         [](ScriptedConnection& asker, const std::string&) { asker.answer(200, "X-Request-Id: r1\r\n", "hello"); });
@@ -198,7 +198,7 @@
     STRCMP_EQUAL("mine", caller->body.c_str());
 }
 
-TEST(WholeAnswerCall, GivesNobodyBytesThatFollowAWholeAnswer)
+TEST(WholeAnswerCall, NeverForwardsBytesThatFollowACompleteAnswer)
 {
     auto& endpoint = relay->addEndpoint("e1");
     endpoint.onRequest([](ScriptedConnection& asker, const std::string& request) {
@@ -218,7 +218,7 @@
     LONGS_EQUAL_TEXT(2, endpoint.connections().size(), "the connection with extra bytes must not carry another call");
 }
 
-TEST(WholeAnswerCall, TakesAnAnswerWithoutALengthOnlyWhenItsConnectionClosesOrderly)
+TEST(WholeAnswerCall, AcceptsAnAnswerWithoutALengthOnlyAfterAnOrderlyClose)
 {
     relay->addEndpoint("e1").onRequest([](ScriptedConnection& asker, const std::string& request) {
         const bool isFirst = request.find("r1") != std::string::npos;
@@ -238,7 +238,7 @@
     LONGS_EQUAL(502, broken->head.status);
 }
 
-TEST(WholeAnswerCall, AsksASecondEndpointWhenTheFirstIsSlow)
+TEST(WholeAnswerCall, HedgesWhenTheFirstEndpointIsSlow)
 {
     relay->settings.shortestHedgeDelay = relay->settings.longestHedgeDelay = Milliseconds { 5 };
     auto& slow = relay->addEndpoint("e1");
@@ -250,7 +250,7 @@
     CHECK(relay->runUntil([&] { return slow.connections()[0]->isClosedByPeer(); }));
 }
 
-TEST(WholeAnswerCall, StopsTheEndpointsWorkWhenTheCallerLeaves)
+TEST(WholeAnswerCall, ClosesTheEndpointsConnectionWhenTheCallerDisconnects)
 {
     auto& endpoint = relay->addEndpoint("e1");
     ready();
@@ -260,7 +260,7 @@
     CHECK(relay->runUntil([&] { return endpoint.connections()[0]->isClosedByPeer(); }));
 }
 
-TEST(WholeAnswerCall, AnswersAtTheRoutesTimeoutWithoutAPromise)
+TEST(WholeAnswerCall, ReportsAnUnknownOutcomeWhenTheDeadlinePasses)
 {
     relay->addEndpoint("e1");
     ready();
@@ -270,7 +270,7 @@
     STRCMP_EQUAL("unknown", caller->header("Lupinknot-Outcome").c_str());
 }
 
-TEST(WholeAnswerCall, AnEndpointThatHasBeenReplacedIsAskedNoMore)
+TEST(WholeAnswerCall, DoesNotSendAgainToAnEndpointThatWasReplaced)
 {
     auto& old = relay->addEndpoint("e1");
     old.onRequest(
@@ -280,44 +280,45 @@
     await(caller);
     LONGS_EQUAL(503, caller->head.status);
     CHECK(relay->daemon().directory().find("e1")->isRemoved());
-    LONGS_EQUAL_TEXT(1, old.requests().size(), "a call that waits for a place must not ask it again");
+    LONGS_EQUAL_TEXT(1, old.requests().size(), "a waiting call must not be sent to it again");
 }
 
-TEST(WholeAnswerCall, SettingsThatChangeHoldForTheNextRequest)
+TEST(WholeAnswerCall, AppliesChangedSettingsToTheNextRequest)
 {
     relay->settings.retryRatio = 0;
     relay->settings.retrySlack = 0;
-    std::size_t sendings = 0;
-    const auto fail = [&sendings](ScriptedConnection& asker, const std::string&) {
-        ++sendings;
+    std::size_t requestCount = 0;
+    const auto fail = [&requestCount](ScriptedConnection& asker, const std::string&) {
+        ++requestCount;
         asker.answer(500, signedHead, "oops");
     };
     relay->addEndpoint("e1").onRequest(fail);
     relay->addEndpoint("e2").onRequest(fail);
     ready();
     await(relay->call("/again/1"));
-    LONGS_EQUAL_TEXT(1, sendings, "without a retry budget a failed call should not be sent again");
+    LONGS_EQUAL_TEXT(1, requestCount, "without a retry budget a failed call should not be sent again");
     auto changed = relay->settings;
     changed.retrySlack = 100;
     relay->daemon().changeSettings(changed);
     await(relay->call("/again/2"));
-    LONGS_EQUAL_TEXT(3, sendings, "the new budget should allow a second sending");
+    LONGS_EQUAL_TEXT(3, requestCount, "the new budget should allow a second sending");
 }
 
 // Guards against charging the retry budget for connection failures. A VM in a zone that was cut off used up its retries
 // on endpoints that it could not connect to, and then refused calls because its retry budget was empty.
-TEST(WholeAnswerCall, AnAttemptThatReachedNoEndpointCostsNoRetry)
+TEST(WholeAnswerCall, AFailedConnectionTakesNoRetry)
 {
     relay->settings.retryRatio = 0;
     relay->settings.retrySlack = 0;
-    auto& dead = relay->addEndpoint("e1");
+    auto& crashed = relay->addEndpoint("e1");
     relay->addEndpoint("e2").onRequest(answers(200, "hello"));
     ready();
-    dead.crash();
+    crashed.crash();
     // Whichever endpoint is chosen first, one of these calls is sent to the crashed one.
     for (int i = 0; i < 6; ++i) {
         const auto caller = relay->call("/once/1");
         await(caller);
-        LONGS_EQUAL_TEXT(200, caller->head.status, "a call that was never sent should go on without a retry");
+        LONGS_EQUAL_TEXT(
+            200, caller->head.status, "a call that was never sent should be sent elsewhere without a retry");
     }
 }
