--- a/src/relay/CrashGuard.cpp
+++ b/src/relay/CrashGuard.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-// Hundreds of charges at once are a lost zone's; more than these are not looked at.
+// Hundreds of losses at once come from a failed zone; losses beyond this number are ignored.
 constexpr std::size_t mostCharges = 2000;
 constexpr Milliseconds forgettingInterval { 60'000 };
-// The log has whole numbers.
+// Log fields are integers.
 constexpr double percent = 100;
 
 std::int64_t inPercent(double weight) { return static_cast<std::int64_t>(weight * percent); }
@@ -38,7 +38,7 @@
 
 CrashGuard::~CrashGuard() = default;
 
-// The time of day of an instant of this VM's clock.
+// Wall-clock time in ms since the epoch of an instant of this VM's monotonic clock.
 std::int64_t CrashGuard::timeOfDayAt(Milliseconds instant) const
 {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -138,7 +138,7 @@
         ++others.inService;
         others.inZone += endpoint->entry().availabilityZone == charge.event.zone;
     }
-    // One that has said in the meantime that it leaves was leaving already.
+    // An endpoint that has announced its shutdown since the loss was already shutting down at the loss.
     return charge.loss.endpoint->entry().isDraining || m_losses.wentWithOthers(charge.event, others);
 }
 
@@ -173,7 +173,7 @@
 {
     const auto now = m_clock.now();
     const bool wasHeld = m_quarantine.isHeld(record.digest, now);
-    // What a VM hears late, or once more after its start, is as old as it is.
+    // A record that arrives late, or again after a restart of this VM, counts from the time of the loss.
     const auto age
         = std::clamp(Milliseconds { timeOfDayAt(now) - record.lostAt }, Milliseconds { 0 }, Quarantine::recordTime);
     if (!m_quarantine.add(record, record.lostAt > 0 ? now - age : now, isShared) || wasHeld
@@ -188,7 +188,7 @@
     tellHeld(record.digest);
 }
 
-// Later, because a call that ends takes itself off the list.
+// Posted, because a call that ends removes itself from the listeners.
 void CrashGuard::tellHeld(const std::string& digest)
 {
     const auto [begin, end] = m_watching.equal_range(digest);
--- a/src/relay/CrashGuard.h
+++ b/src/relay/CrashGuard.h
@@ -1,9 +1,10 @@
-// Keeps requests that end each endpoint that begins them from being sent on and on.
+// Stops requests that crash every endpoint that runs them from being retried on one endpoint after another.
 //
-// Every loss of an endpoint under a request is first an open charge. After a moment (EndpointLosses::moment) it is
-// judged: one that went together with others, or that had said it leaves, speaks against nobody; the rest goes into the
-// Quarantine and to the other VMs (CrashReports). A request that would be held if its open charges stood waits for the
-// judgement. When it is held, calls under way are told, and new ones are refused.
+// Each endpoint loss under a request is first a pending loss. After EndpointLosses::moment it is evaluated: a loss that
+// coincided with others, or of an endpoint that had announced its shutdown, does not count against the request. Any
+// other loss goes into the Quarantine and to the other VMs (CrashReports). A request that would be quarantined if its
+// pending losses counted waits for the evaluation. When a request is quarantined, its calls in progress are notified
+// and new ones are refused.
 //
 //     guard.watch(digest, call);                           // call->requestHeld() may follow.
 //     guard.noteLoss(loss);
@@ -32,12 +33,12 @@
 class RelayEndpoint;
 struct RelaySettings;
 
-// A run that its endpoint did not finish, and whose it was.
+// A run that its endpoint did not finish, with the request that it belongs to.
 struct RequestLoss {
     std::string requestId;
     std::string digest;
     std::shared_ptr<RelayEndpoint> endpoint;
-    // When the endpoint was sent the request.
+    // When the request was sent to the endpoint.
     Milliseconds sentAt { 0 };
     UnfinishedRun run;
 };
@@ -45,7 +46,7 @@
 class HeldListener {
 public:
     virtual ~HeldListener() = default;
-    // The request is held from here on. Called outside of any call to the guard.
+    // The request is quarantined from now on. Called from the event loop, never from within a call to the guard.
     virtual void requestHeld() = 0;
 };
 
@@ -56,27 +57,27 @@
     CrashGuard(const CrashGuard&) = delete;
     CrashGuard& operator=(const CrashGuard&) = delete;
 
-    // Where other VMs hear of what is found here; it outlives the guard's use. Null where there are none.
+    // Publishes losses to the other VMs. Must outlive the guard's use; null when there are no other VMs.
     void setReports(CrashReports* reports) { m_reports = reports; }
 
-    // Whether a new attempt of the request may be served.
+    // True when a new attempt of the request may be served. After a quarantine, the admitted attempt is the trial.
     bool admit(const std::string& digest) { return m_quarantine.admit(digest, m_clock.now()); }
     Standing standing(const std::string& digest) const;
-    // How long the request is still held, or until another trial of it may be over.
+    // Time until the quarantine ends or a trial in progress may be over; at least RelaySettings::retryAfter.
     Milliseconds heldFor(const std::string& digest) const;
-    // True when something speaks against the request, judged or not.
+    // True when any loss counts against the request, evaluated or pending.
     bool isSuspect(const std::string& digest) const;
-    // Tells the listener when the request is held, until it is taken off again.
+    // Notifies the listener when the request is quarantined, until unwatch().
     void watch(const std::string& digest, const std::shared_ptr<HeldListener>&);
     void unwatch(const std::string& digest, const HeldListener&);
     void noteLoss(RequestLoss);
-    // An endpoint has made events of the request for so long.
+    // An endpoint has been producing events of the request for this long.
     void noteProducing(const std::string& digest, Milliseconds producedFor);
-    // The request has been served, or has otherwise shown that endpoints survive it. For a while nothing that it loses
-    // speaks against it.
+    // The request has been served, or has otherwise shown that endpoints survive it. Clears its losses; further ones do
+    // not count against it for ServedRequests::keptFor.
     void noteHarmless(const std::string& digest);
 
-    // What another VM has published, or taken back.
+    // A record that another VM has published, or has withdrawn.
     void take(const CrashRecord&);
     void drop(const std::string& digest, const std::string& endpointId);
 
--- a/src/relay/CrashWatch.cpp
+++ b/src/relay/CrashWatch.cpp
@@ -15,7 +15,7 @@
 
     void requestHeld() override
     {
-        // The callback may end the call, and this with it.
+        // The callback may end the call, which destroys this listener.
         const auto held = m_held;
         if (held)
             held();
--- a/src/relay/CrashWatch.h
+++ b/src/relay/CrashWatch.h
@@ -1,9 +1,9 @@
-// One request's dealings with the CrashGuard, for as long as its call goes on.
+// Connects one call's request to the CrashGuard: reports its losses and tells the call when the request is quarantined.
 //
 //     CrashWatch watch(context, request);
-//     watch.begin([this] { held(); });             // Called when the request is held from then on.
-//     watch.noteUnfinished(endpoint, sentAt, run); // An endpoint did not finish a run of it.
-//     if (judgeAttempt(watch.attemptState(runs)) == AttemptVerdict::Allowed) ...  // It may be sent to the next one.
+//     watch.begin([this] { quarantined(); });      // Called when the request is quarantined.
+//     watch.noteUnfinished(endpoint, sentAt, run); // An endpoint did not finish a run of the request.
+//     if (judgeAttempt(watch.attemptState(runs)) == AttemptVerdict::Allowed) ...  // Another attempt may be sent.
 //     watch.end();
 //
 // Used on the relay's thread only. Owned by the request's call.
@@ -26,12 +26,12 @@
     CrashWatch(const CrashWatch&) = delete;
     CrashWatch& operator=(const CrashWatch&) = delete;
 
-    // The callback is not called after end(), nor from within a call to this object.
+    // The callback is never called after end(), nor from within a call to this object.
     void begin(std::function<void()> held);
     void end();
-    // What is known of the request in front of an attempt, after so many that may have run.
+    // The request's state before its next attempt. possibleRuns: attempts so far that an endpoint may have run.
     AttemptState attemptState(unsigned possibleRuns) const;
-    // True when something speaks against the request, judged or not.
+    // True when any loss counts against the request, evaluated or pending.
     bool isSuspect() const;
     void noteUnfinished(const std::shared_ptr<RelayEndpoint>&, Milliseconds sentAt, UnfinishedRun);
     void noteProducing(Milliseconds producedFor);
--- a/src/relay/PermitWait.cpp
+++ b/src/relay/PermitWait.cpp
@@ -57,7 +57,7 @@
     });
 }
 
-// What the endpoint has said meanwhile goes before the permit.
+// What the endpoint has announced since overrides the permit: a lower limit, backoff or its shutdown.
 void PermitWait::placeCame()
 {
     const auto perSecond = m_endpoint->limit().perSecond();
--- a/src/relay/PermitWait.h
+++ b/src/relay/PermitWait.h
@@ -1,9 +1,10 @@
-// Asks for a permit to send one request to an endpoint under a limit, and waits for its place.
+// Requests a permit to send one request to an endpoint under a rate limit, and waits for its slot, the time at
+// which the request may be sent.
 //
-//     m_permit = PermitWait::start(context, endpoint, patience, [this](bool isGranted) { ... });
+//     m_permit = PermitWait::start(context, endpoint, maxWait, [this](bool isGranted) { ... });
 //
-// Without a permit the endpoint is left out by Placement until asking again may help.
-// Used on the relay's thread only. Owned by the request; no callback follows once it is gone.
+// When the permit is denied, Placement skips the endpoint until another request for a permit may succeed.
+// Used on the relay's thread only. Owned by the request; no callback follows its destruction.
 #pragma once
 
 #include "limits/PermitSource.h"
@@ -20,7 +21,7 @@
 public:
     using Callback = std::function<void(bool isGranted)>;
 
-    // The patience is how long the request can wait for its place.
+    // maxWait: the longest time that the request can wait for its slot.
     static std::shared_ptr<PermitWait> start(
         RelayContext&, std::shared_ptr<RelayEndpoint>, Milliseconds patience, Callback);
 
@@ -33,7 +34,7 @@
     RelayContext& m_context;
     const std::shared_ptr<RelayEndpoint> m_endpoint;
     Callback m_callback;
-    // The limit under which the permit was given.
+    // The limit, in requests per second, under which the permit was granted.
     std::optional<double> m_perSecond;
     boost::asio::steady_timer m_timer;
 };
--- a/src/relay/RolloutPart.cpp
+++ b/src/relay/RolloutPart.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-// An answer that takes this many times the usual time counts as bad: bad versions are several times slower, and a
-// neighbour's prompt at an engine makes a stream's first event twice as late.
+// An answer that takes longer than this multiple of the usual time counts as bad. Bad versions are several times
+// slower; the prefill of another prompt at an engine alone doubles the time to a stream's first event.
 constexpr int slowFactor = 3;
-// Below this, a multiple of the usual time says little.
+// Answers faster than this are never slow: for short times a multiple of the usual time is not significant.
 constexpr Milliseconds shortestSlowTime { 50 };
 
 } // namespace
@@ -43,7 +43,7 @@
         return hasRunner(proven) ? proven : VersionChoice {};
     const VersionChoice candidate { VersionChoice::Rule::Only, rollout->order().candidate };
     const auto choice = hasRunner(candidate) ? rollout->choose(m_context.now()) : proven;
-    // Callers are served by whoever is left.
+    // When no runner of the chosen version is left, any version serves the caller.
     m_first = hasRunner(choice) ? choice : VersionChoice {};
     return *m_first;
 }
--- a/src/relay/RolloutPart.h
+++ b/src/relay/RolloutPart.h
@@ -1,12 +1,12 @@
-// What one request has to do with its service's roll-out, if there is one: which runners its sendings may go to, and
-// what their answers show.
+// One request's part in its service's rollout, if there is one: selects the versions of the runners to which the
+// request may be sent, and reports the quality of their answers.
 //
 //     RolloutPart part(context, request);
-//     wanted.version = part.next();                // The same until a sending has been made.
+//     wanted.version = part.next();                // The same choice until the request has been sent.
 //     part.noteSent();
 //     part.noteAnswer(*endpoint, AnswerQuality::Bad);
 //
-// Used on the relay's thread only. The context and the request outlive it.
+// Used on the relay's thread only. The context and the request must outlive it.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -24,13 +24,13 @@
 public:
     RolloutPart(RelayContext&, const RelayRequest&);
 
-    // Runners for the next sending: the first may try a candidate, those that follow may not.
+    // Runners for the next send. Only the first send may go to the candidate version; retries and hedges may not.
     VersionChoice next();
-    // Runners that may hold a copy of the run at the engine.
+    // Runners that may hold a copy of a run that the engine executes.
     VersionChoice forCopies(const RelayEndpoint& engine) const;
     void noteSent() { m_hasSent = true; }
     void noteAnswer(const RelayEndpoint&, AnswerQuality) const;
-    // The same for an answer that came after a time, where the usual one is known.
+    // Rates an answer by its latency, for answers whose usual latency is known.
     void noteAnswerAfter(const RelayEndpoint&, Milliseconds took, Milliseconds usual) const;
 
 private:
@@ -38,7 +38,7 @@
 
     RelayContext& m_context;
     const RelayRequest& m_request;
-    // Of the first sending, once it has been made.
+    // The choice for the first send, once made.
     std::optional<VersionChoice> m_first;
     bool m_hasSent { false };
 };
--- a/src/relay/RunCopy.h
+++ b/src/relay/RunCopy.h
@@ -1,11 +1,11 @@
-// Says which engine holds the growing copy of a run.
+// Finds the engine that holds the live copy of a run: the copy of its KV cache that is updated while the run continues.
 //
-// Load pattern: the list of engines is silent for seconds while those of a zone start again under other names. Copies
-// are sent to addresses, so those of runs that began since lie with engines that this VM knows by their earlier names;
-// once the list is back, it takes the names away. The mean worth of two days with troubles rises by 0.0147 +- 0.0052
-// (12 pairs of the same days and seeds) when such copies are found.
+// Load pattern: while the engines of a zone restart under new names, the endpoint list is not updated for seconds.
+// Copies are sent to addresses, so the copies of runs that began in that time are on engines that this VM knows by
+// their earlier names; once the list is updated again, the earlier names are removed. Finding such copies by address
+// raises the mean worth of two days with failures by 0.0147 +- 0.0052 (12 pairs with equal days and seeds).
 //
-//     const auto holder = copyHolderOf(run, directory);       // Null when no copy was ordered.
+//     const auto holder = copyHolderOf(run, directory);       // Null when no copy was requested.
 //
 // Pure functions of their arguments; used on the relay's thread only.
 #pragma once
@@ -18,8 +18,9 @@
 class RelayEndpoint;
 struct StreamRun;
 
-// The engine that the copy was sent to, or the one that is listed at its address now: unless the zone has failed since
-// the run began, the copy went there. An engine that has none says so and costs a retry.
+// Returns the engine that the copy was sent to. If that engine is no longer listed, returns the one that is now listed
+// at its address, unless the zone has failed since the run began. An engine without the copy answers so, which costs a
+// retry.
 std::shared_ptr<RelayEndpoint> copyHolderOf(const StreamRun&, const EndpointDirectory&);
 
 } // namespace lupinknot::internal
--- a/src/relay/RunLocationCache.cpp
+++ b/src/relay/RunLocationCache.cpp
@@ -25,7 +25,7 @@
 
 void RunLocationCache::dropOld(Milliseconds now)
 {
-    // The ages may outnumber the entries, because prompts are put more than once.
+    // m_insertions may hold more elements than m_entries, because a prompt may be put more than once.
     while (!m_ages.empty() && (m_ages.size() > m_capacity || isExpired(m_ages.front().at, now))) {
         const auto& oldest = m_ages.front();
         const auto found = m_entries.find(oldest.promptId);
--- a/src/relay/RunLocationCache.h
+++ b/src/relay/RunLocationCache.h
@@ -1,10 +1,10 @@
-// Locations of runs that a VM keeps in memory, its own and those that other VMs have told it.
+// In-memory cache of run locations: those of this VM's runs and those that other VMs have sent.
 //
 //     cache.put("91bd3f06", location, now);
 //     if (const auto* location = cache.find("91bd3f06", now)) ...
 //
-// Bounded in time and number: a location older than a stream can last is of no use, and the oldest ones give way.
-// Used on the relay's thread only.
+// Bounded in time and size: entries expire after the longest time that a stream can last, and the oldest ones are
+// evicted when the cache is full. Used on the relay's thread only.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -18,10 +18,10 @@
 public:
     RunLocationCache(Milliseconds lifetime, std::size_t capacity);
 
-    // Takes the place of what was known of the prompt.
+    // Replaces the prompt's previous location.
     void put(const std::string& promptId, RunLocation, Milliseconds now);
     void remove(const std::string& promptId);
-    // Null when nothing is known, or nothing recent. Valid until the next change.
+    // Returns null when there is no unexpired entry. The pointer is valid until the next change of the cache.
     const RunLocation* find(const std::string& promptId, Milliseconds now) const;
     std::size_t size() const { return m_entries.size(); }
 
@@ -41,7 +41,7 @@
     const Milliseconds m_lifetime;
     const std::size_t m_capacity;
     std::unordered_map<std::string, Entry> m_entries;
-    // In the order of being put; an entry that was put again or removed leaves its earlier age behind.
+    // In insertion order. Replaced or removed entries leave their earlier element here.
     std::deque<Age> m_ages;
 };
 
--- a/src/relay/RunLocations.h
+++ b/src/relay/RunLocations.h
@@ -1,8 +1,8 @@
-// Where the runs of prompts are, told from VM to VM.
+// Shares among the VMs at which engines the runs of prompts are.
 //
-// A caller whose VM has died comes back to another one. This one sends the request to the engine that was running it,
-// which has the prompt in its cache, or to the one that holds a copy of the run, if it can find out which they were.
-// What is noted is a hint: it may be lost or old, and nothing but the choice of an engine depends on it. Used on the
+// A caller whose VM has died comes back to another VM. That VM sends the request to the engine that was running it,
+// which has the prompt in its cache, or to the engine that holds a copy of the run, if it can look them up.
+// Locations are hints: they may be lost or outdated, and only the choice of an engine depends on them. Used on the
 // relay's thread only.
 #pragma once
 
@@ -14,12 +14,12 @@
 namespace lupinknot::internal {
 
 struct RunLocation {
-    // The engine that runs the request, and the one that receives a growing copy (empty when none does).
+    // The engine that runs the request, and the one that receives the run's live copy (empty when there is none).
     std::string endpointId;
     std::string copyHolderId;
-    // The caller's attempt that the run and its copy are named after.
+    // Id of the caller's attempt, which also names the run and its copy.
     std::string requestId;
-    // Where the copy's holder is: it may have started again under another id before the copy was sent there.
+    // Address of the copy holder: it may have restarted under another id before the copy was sent there.
     SocketAddress copyHolderAddress {};
 };
 
@@ -30,7 +30,7 @@
     virtual ~RunLocations() = default;
     virtual void note(const std::string& promptId, const RunLocation&) = 0;
     virtual void forget(const std::string& promptId) = 0;
-    // Calls back once, soon, also when nothing is known.
+    // Calls back exactly once after a short time, with nothing when no location is known.
     virtual void find(const std::string& promptId, Found) = 0;
 };
 
--- a/src/relay/RunMover.cpp
+++ b/src/relay/RunMover.cpp
@@ -48,7 +48,7 @@
     const auto holder = copyHolderOf(run, m_context.directory);
     if (!holder)
         return now - run.startedAt >= m_context.settings.relocateAfter;
-    // The engines of a zone go together, and the list of endpoints says so only seconds later.
+    // The engines of a zone fail together, and the endpoint list shows it only seconds later.
     return holder->isLeaving()
         || m_context.directory.hasZoneFailedSince(holder->entry().availabilityZone, run.startedAt);
 }
@@ -58,7 +58,7 @@
     const auto* service = m_context.configuration->findService(m_request.service);
     const bool isPossible
         = service && service->copiesRunningMemory && m_request.route->mayRunAgain() && !run.endpoint->isResting(now);
-    // A run at a candidate version is not sent to it again, and its memory stays with its version.
+    // A run at a candidate version is not sent to that version again, and its KV cache cannot move to another version.
     const bool isAtHome = m_rollout.next().admits(run.endpoint->entry().version);
     return isPossible && isAtHome && outlook.leavesAttempt && run.hasEvent
         && outlook.expectedRest >= m_context.settings.relocateUnlessDoneWithin
@@ -68,7 +68,7 @@
 void RunMover::move(const StreamRun& run, Engines excluded, Milliseconds now)
 {
     if (m_nextAt == Milliseconds { 0 }) {
-        // Many streams lose their copies at the same instant, and copies queue on the engines' links.
+        // Many streams lose their copies at the same time, and copies queue on the engines' network links.
         const auto spread = static_cast<std::uint64_t>(m_context.settings.relocationSpread.count());
         const auto delay = std::hash<std::string>()(m_request.fields.requestId) % std::max<std::uint64_t>(spread, 1);
         m_nextAt = now + Milliseconds { static_cast<std::int64_t>(delay) };
--- a/src/relay/RunMover.h
+++ b/src/relay/RunMover.h
@@ -1,11 +1,12 @@
-// Moves a stream's run ahead, to an engine where it gets a growing copy, before it needs one.
+// Relocates a stream's run preemptively, to an engine where it gets a live copy (a KV-cache copy on another engine that
+// is updated while the run continues).
 //
 //     RunMover mover(context, request, rollout, [this](const RunMove& move) { ... });
-//     mover.consider(run, { leavesAttempt, lastEventId, expectedRest }, failedEngines);   // From time to time.
+//     mover.consider(run, { leavesAttempt, expectedRest }, failedEngines);   // Called periodically.
 //
-// A retry is taken when a move begins: once the run has been stopped it has to go on. The user gives it back where the
-// run was not stopped.
-// Used on the relay's thread only. Owned by the stream's call; no callback follows once it is gone.
+// A retry is taken from the budget when a move begins, because a run that has been stopped must be continued. The user
+// of the mover returns the retry when the run was not stopped.
+// Used on the relay's thread only. Owned by the stream's call; no callback follows its destruction.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -24,20 +25,20 @@
 struct StreamRun;
 enum class RelocationResult;
 
-// How a move has ended.
+// Outcome of a move.
 struct RunMove {
     RelocationResult result;
     std::shared_ptr<RelayEndpoint> source;
     std::shared_ptr<RelayEndpoint> target;
-    // Names the memory for the run that continues; empty unless it moved or stopped.
+    // Names the KV cache for the run that continues; empty unless the result is Moved or Stopped.
     std::string handle;
 };
 
-// What a stream has ahead of it.
+// What remains of a stream.
 struct StreamOutlook {
-    // Another attempt may follow the move.
+    // True when the request may make another attempt after the move.
     bool leavesAttempt { false };
-    // How long the stream will probably go on.
+    // Expected time until the stream ends.
     Milliseconds expectedRest { 0 };
 };
 
@@ -46,21 +47,21 @@
     using Callback = std::function<void(const RunMove&)>;
     using Engines = std::vector<std::shared_ptr<RelayEndpoint>>;
 
-    // The context, the request and the rollout part outlive it.
+    // The context, the request and the request's rollout must outlive the mover.
     RunMover(RelayContext&, const RelayRequest&, RolloutPart&, Callback);
     ~RunMover();
     RunMover(const RunMover&) = delete;
     RunMover& operator=(const RunMover&) = delete;
 
-    // Begins to move the run if it lacks a copy and a move is worth it.
+    // Begins to move the run if it lacks a copy and the move pays off (RelaySettings::relocateUnlessDoneWithin).
     void consider(const StreamRun&, const StreamOutlook&, Engines failed);
     // True once the run may have been told to stop: its stream then ends without its last event.
     bool isStopping() const;
-    // Gives a move up that is under way, and its retry back.
+    // Cancels a move in progress and returns its retry to the budget.
     void cancel();
 
 private:
-    // True when the run would have to begin anew if its engine failed now.
+    // True when the run would have to start over if its engine failed now.
     bool lacksCopy(const StreamRun&, Milliseconds now) const;
     bool mayMove(const StreamRun&, const StreamOutlook&, Milliseconds now);
     void move(const StreamRun&, Engines excluded, Milliseconds now);
@@ -70,7 +71,7 @@
     RolloutPart& m_rollout;
     const Callback m_callback;
     std::shared_ptr<RunRelocation> m_relocation;
-    // A move that was refused is tried again no earlier.
+    // Earliest time of the next move. 0 until a first delay is set, which spreads the moves of many streams.
     Milliseconds m_nextAt { 0 };
 };
 
--- a/src/relay/RunRelocation.cpp
+++ b/src/relay/RunRelocation.cpp
@@ -44,7 +44,7 @@
         m_source->noteSignals(m_context.protocol.decodeAnswer(*outcome.answer), m_context.now());
     const auto moved = outcome.answer ? m_context.protocol.decodeMoveRun(*outcome.answer) : MoveRunAnswer {};
     if (!m_isStopping) {
-        // The run goes on where it is, too, if its engine has asked for a rest meanwhile.
+        // The run also stays at the source when the source has asked for backoff in the meantime.
         if (!moved.isCopied || m_source->isResting(m_context.now())) {
             settle(RelocationResult::Refused, "");
             return;
--- a/src/relay/RunRelocation.h
+++ b/src/relay/RunRelocation.h
@@ -1,9 +1,9 @@
-// Moves a running request's memory to another engine while the run goes on, and then the run itself.
+// Moves a run in progress to another engine by copying its KV cache.
 //
-// Two steps: a first copy without stopping the run, which takes the time, and a second one that stops the run and
-// copies only what has been added since. So the caller waits for the short step alone, and a target without room is
-// found out before anything is stopped.
-// Used on the relay's thread only. Owned by the stream; no callback follows once it is gone.
+// Works in two steps: a first copy while the run continues, which takes most of the time, and a second one that stops
+// the run and copies only what was added since. So the caller waits only for the short second step, and a target
+// without room is detected before the run is stopped. Used on the relay's thread only. Owned by the stream; no callback
+// follows its destruction.
 #pragma once
 
 #include "lupinknot/EnumNames.h"
@@ -19,10 +19,10 @@
 struct RelayContext;
 
 enum class RelocationResult {
-    Refused, // The run goes on where it is.
-    Moved, // The run has stopped; its memory is at the target.
-    Stopped, // The run has stopped; its memory is at the source.
-    Unknown, // The run may have stopped.
+    Refused, // The run continues at the source.
+    Moved, // The run has stopped; its KV cache is at the target.
+    Stopped, // The run has stopped; its KV cache is at the source.
+    Unknown, // It is not known whether the run has stopped.
 };
 
 inline constexpr std::array<EnumName<RelocationResult>, 4> relocationResultNames { {
@@ -34,7 +34,7 @@
 
 class RunRelocation : public std::enable_shared_from_this<RunRelocation> {
 public:
-    // The handle names the memory for the run that continues; empty unless it moved or stopped.
+    // The handle names the KV cache for the run that continues; empty unless the result is Moved or Stopped.
     using Callback = std::function<void(RelocationResult, const std::string& handle)>;
 
     static std::shared_ptr<RunRelocation> start(RelayContext&, std::shared_ptr<RelayEndpoint> source,
--- a/src/relay/RunWatch.cpp
+++ b/src/relay/RunWatch.cpp
@@ -69,7 +69,7 @@
         reportSilent();
         return;
     }
-    // Other streams of the engine show that it lives, too.
+    // Events of other streams also show that the engine is alive.
     const auto silence = now - std::max(m_run->lastActivity, m_run->endpoint->lastLife());
     const bool mayAsk = m_context.has(Policy::LivenessQuestions) && !m_run->endpoint->isResting(now);
     if (mayAsk && silence >= silenceBeforeQuestion(now) && now >= m_nextQuestionAt && !m_question)
--- a/src/relay/RunWatch.h
+++ b/src/relay/RunWatch.h
@@ -1,13 +1,14 @@
-// Finds out whether the engine of a stream's present run has fallen silent.
+// Detects that the engine of a stream's current run has become silent.
 //
-// An engine that sends nothing is asked whether it lives; how soon depends on what the run is doing and on what other
-// engines of its zone do. One that does not answer, or whose stream pauses for too long although it answers, is silent.
-// A run that must not be repeated is asked about but never taken for silent.
+// An engine that sends nothing is probed. The silence before the probe depends on the phase of the run and on the state
+// of the engine's availability zone. An engine counts as silent when it does not answer a probe, or when its stream
+// pauses for too long although it answers. A run that must not be repeated is probed, but never counts as silent.
 //
-//     const auto watch = RunWatch::make(context, request, { onSilent, onTick });
+//     const auto watch = RunWatch::make(context, request, { onSilent, onChecked });
 //     watch->begin(run);               // Until stop() or the next run.
 //
-// Used on the relay's thread only. Owned by the stream's call, which outlives neither its callbacks nor its timer.
+// Used on the relay's thread only. Owned by the stream's call; after the call is gone neither callbacks nor the timer
+// run.
 #pragma once
 
 #include "relay/StreamRun.h"
@@ -24,18 +25,18 @@
 class RunWatch : public std::enable_shared_from_this<RunWatch> {
 public:
     struct Callbacks {
-        // The engine is silent. Called at most once for each run.
+        // The engine has become silent. Called at most once per run.
         std::function<void()> silent;
-        // After each look at a run that is not silent.
+        // Called after each periodic check of a run that is not silent.
         std::function<void()> looked;
     };
 
-    // The request outlives the watch.
+    // The request must outlive the watch.
     static std::shared_ptr<RunWatch> make(RelayContext&, const RelayRequest&, Callbacks);
     ~RunWatch();
 
     void begin(std::shared_ptr<const StreamRun>);
-    // An event has come: whatever was asked is answered.
+    // An event of the run has arrived, which answers a pending probe.
     void noteEvent() { m_question.reset(); }
     void stop();
 
--- a/test/CrashingRequestTest.cpp
+++ b/test/CrashingRequestTest.cpp
@@ -1,12 +1,8 @@
-// Requests came whose run ended each engine that began them. The relay took every loss for the engine's fault: it sent
-// such a request on, up to five times an attempt, and let its caller come back at any VM for the same again. 23
-// attempts of callers ended 64 engines in 30 seconds, 1.5 a second at the worst, and 126 of 416 other streams were
-// late. What settled it: on 64 of 77 ended engines exactly one run had begun and made no event, on engines that were
-// otherwise idle,
-//     stream.engine-chosen endpoint=i-e93fb208fc being_read=0 waiting=0 generating=0
-//     stream.run-lost endpoint=i-e93fb208fc failure=early-end last_event=0 run_ms=1948
-//     stream.sent run=3 ... stream.run-lost run=3 failure=early-end last_event=0 ... stream.sent run=4
-// while none of 57 other attempts with three sendings or more ever lost an engine so.
+// Guards against requests that crash every engine that runs them. The relay treated each loss as a fault of the engine:
+// it retried such a request up to five times per attempt and admitted its caller again at any VM, so that 23 attempts
+// ended 64 engines in 30 seconds (1.5 per second at worst) and delayed 126 of 416 other streams. Such losses can be
+// told apart from engine faults: on 64 of 77 lost engines exactly one run had begun, without any event, and the engine
+// was otherwise idle, while none of 57 other attempts with three or more sends lost an engine that way.
 #include "RelayHarness.h"
 
 #include <CppUTest/TestHarness.h>
@@ -16,7 +12,7 @@
 
 TEST_GROUP(CrashingRequest)
 {
-    // Three crashes show what a request does; three retries may be under way by then.
+    // Three crashes identify the request; three retries may be in progress by then.
     static constexpr std::size_t mostArrivals = 6;
 
     std::unique_ptr<RelayHarness> relay;
@@ -25,7 +21,7 @@
     void setup() override
     {
         relay = std::make_unique<RelayHarness>();
-        // No second sending of a call that is only slow.
+        // No hedged requests for calls that are only slow.
         relay->settings.shortestHedgeDelay = relay->settings.longestHedgeDelay = Milliseconds { 100000 };
         relay->addRoute("stream", RequestKind::EventStream, 5);
         relay->addRoute("again", RequestKind::Idempotent, 2);
@@ -61,10 +57,11 @@
 
     void await(const std::shared_ptr<TestCaller>& caller)
     {
-        CHECK_TEXT(relay->runUntil([&] { return caller->isWhole || caller->isBroken; }), "no end came");
+        CHECK_TEXT(relay->runUntil([&] { return caller->isWhole || caller->isBroken; }),
+            "the call neither finished nor failed");
     }
 
-    // The caller comes so often, each time with a request id of its own. Returns the last answer.
+    // Repeats the call with a new request id each time. Returns the last answer.
     std::shared_ptr<TestCaller> comeBack(const std::string& path, int times)
     {
         std::shared_ptr<TestCaller> caller;
@@ -85,7 +82,7 @@
         return count;
     }
 
-    // The engine begins the run and ends, as the callers of its other runs see it, too.
+    // The engine begins the run and crashes, which also breaks its other connections.
     static void beginAndCrash(ScriptedConnection & asker, const std::string&)
     {
         asker.beginStream("X-Response-Signature: s\r\n");
@@ -109,12 +106,12 @@
     addInFourZones(16, beginAndCrash);
     ready();
     comeBack("/stream/1", 4);
-    CHECK_TEXT(arrivals("/stream/1") >= 3, "three engines have to end before it is known");
+    CHECK_TEXT(arrivals("/stream/1") >= 3, "the request was quarantined before three engines had crashed");
     const auto before = arrivals("/stream/1");
-    CHECK_TEXT(before <= mostArrivals, "a request is sent to engine after engine that it ends");
+    CHECK_TEXT(before <= mostArrivals, "the request was sent to more engines after it had crashed three");
     const auto caller = comeBack("/stream/1", 1);
-    LONGS_EQUAL_TEXT(503, caller->head.status, "this attempt has not run and will not");
-    CHECK_TEXT(caller->header("Retry-After") != "absent", "the caller is told when to come back");
+    LONGS_EQUAL_TEXT(503, caller->head.status, "an attempt of the quarantined request was not refused");
+    CHECK_TEXT(caller->header("Retry-After") != "absent", "the refusal lacks a Retry-After header");
     LONGS_EQUAL(before, arrivals("/stream/1"));
 }
 
@@ -123,8 +120,8 @@
     addInFourZones(8, reset);
     ready();
     comeBack("/again/1", 6);
-    CHECK_TEXT(arrivals("/again/1") >= 3, "three endpoints have to end before it is known");
-    CHECK_TEXT(arrivals("/again/1") <= mostArrivals, "a call is sent to endpoint after endpoint that it ends");
+    CHECK_TEXT(arrivals("/again/1") >= 3, "the call was quarantined before three endpoints had crashed");
+    CHECK_TEXT(arrivals("/again/1") <= mostArrivals, "the call was sent to more endpoints after it had crashed three");
 }
 
 TEST(CrashingRequest, ThatMayRunOnlyOnceAnAttemptIsNotSentAtItsNextAttempts)
@@ -132,7 +129,7 @@
     addInFourZones(12, reset);
     ready();
     comeBack("/once/1", 12);
-    CHECK_TEXT(arrivals("/once/1") <= mostArrivals, "a call is sent to endpoint after endpoint that it ends");
+    CHECK_TEXT(arrivals("/once/1") <= mostArrivals, "the call was sent to more endpoints after it had crashed three");
 }
 
 TEST(CrashingRequest, HoldsNoOtherRequestBack)
@@ -149,7 +146,7 @@
     LONGS_EQUAL(200, comeBack("/stream/2", 1)->head.status);
 }
 
-// Zone after zone loses all its engines at once, each time just after this request has begun there.
+// One zone after another loses all its engines at once, each time just after this request has begun there.
 TEST(CrashingRequest, IsNotWhatARequestIsThatLosesItsEnginesWithTheirZones)
 {
     constexpr std::size_t enginesInAZone = 3;
@@ -180,7 +177,7 @@
             }
             return false;
         };
-        CHECK_TEXT(relay->runUntil(hasBegun), "the request did not reach the next zone");
+        CHECK_TEXT(relay->runUntil(hasBegun), "the request did not reach a zone whose engines are all busy");
         for (std::size_t i = 0; i < enginesInAZone; ++i) {
             auto& engine = *endpoints[zone * enginesInAZone + i];
             engine.crash();
@@ -195,14 +192,13 @@
     LONGS_EQUAL(200, caller->head.status);
 }
 
-// All callers asked for the same while the engines of a zone were gone and what stands before them still took
-// connections: each stream lost four engines within a few milliseconds, and all callers were held back for 24 s, later
-// for ten minutes (178 to 189 of 286 to 430 tries served where nine tenths have to be). What settled it: 28 of 28
-// losses were of this form, on six VMs, most of them within 0.6 s after all VMs had started anew and knew of no loss,
-//     quarantine.judged request=c8.2.4 endpoint=llm-7012-1 beginning=hidden worked_ms=0 weight_percent=50
-// and the trial that followed met another engine that had gone. A stream's run begins with its prompt being read, which
-// takes longer than any of these connections lasted. The store's return in between added nothing: the records came
-// back as they were, and the holds ended when they would have ended without it.
+// Guards against blaming a request for engines that were gone before it arrived. The proxy in front of the engines of a
+// lost zone still accepted connections, so that each stream lost four engines within milliseconds, and a request that
+// all callers sent was quarantined for 24 s, later for ten minutes: 178 to 189 of 286 to 430 calls were served where
+// nine tenths have to be. In all 28 losses, on six VMs, the engine had worked for 0 ms and the loss counted half. Most
+// came within 0.6 s after a restart of all VMs, which knew of no loss then, and the trial met another lost engine. A
+// stream's run begins with its prefill, which takes longer than any of these connections lasted. The store coming back
+// in between changed neither the records nor the quarantine times.
 TEST(CrashingRequest, IsNotWhatARequestIsThatMeetsEnginesThatHadGoneBeforeIt)
 {
     addInFourZones(8, [](ScriptedConnection& asker, const std::string&) { asker.close(); });
@@ -211,10 +207,11 @@
     for (std::size_t i = 0; i < 4; ++i)
         add("back" + std::to_string(i), "a", serves());
     relay->list();
-    LONGS_EQUAL_TEXT(200, comeBack("/stream/1", 1)->head.status, "it is held for engines that it did not end");
+    LONGS_EQUAL_TEXT(
+        200, comeBack("/stream/1", 1)->head.status, "the request is quarantined for engines that it did not crash");
 }
 
-// Each engine says that it leaves, and ends, just after the request has begun there.
+// Each engine announces that it leaves and stops just after the request has begun there.
 TEST(CrashingRequest, IsNotWhatARequestIsThatMeetsARollingStop)
 {
     constexpr int stops = 4;
@@ -241,7 +238,7 @@
     LONGS_EQUAL(stops + 1, arrivals("/stream/1"));
 }
 
-// The only engine crashes and is back again and again, whatever it runs. An attempt waits for it only so long.
+// The only engine crashes and restarts repeatedly, whatever it runs. An attempt waits for it only for a limited time.
 TEST(CrashingRequest, IsNotWhatARequestIsThatMeetsAReturningEngine)
 {
     int crashes = 0;
@@ -259,7 +256,7 @@
     LONGS_EQUAL(5, crashes);
 }
 
-// Engines that end under another request take those with them that wait there for their first token.
+// Engines that crash under another request also break the requests that wait there for their first token.
 TEST(CrashingRequest, IsNotWhatARequestIsThatOnlyWaitedBesideOne)
 {
     int lost = 0;
@@ -276,7 +273,7 @@
     LONGS_EQUAL(5, arrivals("/stream/1"));
 }
 
-// Many ask for the same, and its endpoints crash around it; a moment ago it was served.
+// Many callers send the same request and its endpoints crash for another reason; the request was served just before.
 TEST(CrashingRequest, IsNotWhatARequestIsThatWasServedLately)
 {
     int asked = 0;
