--- a/src/relay/CrashGuard.cpp
+++ b/src/relay/CrashGuard.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 // Hundreds of losses at once come from a failed zone; losses beyond this number are ignored.
-constexpr std::size_t mostCharges = 2000;
-constexpr Milliseconds forgettingInterval { 60'000 };
+constexpr std::size_t maxPendingLosses = 2000;
+constexpr Milliseconds expiryInterval { 60'000 };
 // Log fields are integers.
 constexpr double percent = 100;
 
@@ -30,27 +30,27 @@
     , m_settings(settings)
     , m_directory(directory)
     , m_quarantine(settings.vmName)
-    , m_judgementTimer(ioContext)
-    , m_forgettingTimer(ioContext)
+    , m_evaluationTimer(ioContext)
+    , m_expiryTimer(ioContext)
 {
-    armForgetting();
+    scheduleExpiry();
 }
 
 CrashGuard::~CrashGuard() = default;
 
 // Wall-clock time in ms since the epoch of an instant of this VM's monotonic clock.
-std::int64_t CrashGuard::timeOfDayAt(Milliseconds instant) const
+std::int64_t CrashGuard::wallClockAt(Milliseconds instant) const
 {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     return (std::chrono::duration_cast<Milliseconds>(now) - (m_clock.now() - instant)).count();
 }
 
-double CrashGuard::openWeight(const std::string& digest) const
+double CrashGuard::pendingWeight(const std::string& digest) const
 {
     double weight = 0;
-    for (const auto& charge : m_charges) {
-        if (charge.loss.digest == digest)
-            weight += charge.weight;
+    for (const auto& pendingLoss : m_pendingLosses) {
+        if (pendingLoss.loss.digest == digest)
+            weight += pendingLoss.weight;
     }
     return weight;
 }
@@ -59,8 +59,8 @@
 {
     if (m_quarantine.isHeld(digest, m_clock.now()))
         return Standing::Held;
-    const auto open = openWeight(digest);
-    return open > 0 && m_quarantine.wouldBeHeld(digest, open) ? Standing::UnderJudgement : Standing::Free;
+    const auto pending = pendingWeight(digest);
+    return pending > 0 && m_quarantine.wouldBeHeld(digest, pending) ? Standing::UnderJudgement : Standing::Free;
 }
 
 Milliseconds CrashGuard::heldFor(const std::string& digest) const
@@ -70,24 +70,24 @@
 
 bool CrashGuard::isSuspect(const std::string& digest) const
 {
-    return m_quarantine.isSuspect(digest) || openWeight(digest) > 0;
+    return m_quarantine.isSuspect(digest) || pendingWeight(digest) > 0;
 }
 
-void CrashGuard::watch(const std::string& digest, const std::shared_ptr<HeldListener>& listener)
+void CrashGuard::addListener(const std::string& digest, const std::shared_ptr<QuarantineListener>& listener)
 {
-    m_watching.emplace(digest, listener);
+    m_listeners.emplace(digest, listener);
 }
 
-void CrashGuard::unwatch(const std::string& digest, const HeldListener& listener)
+void CrashGuard::removeListener(const std::string& digest, const QuarantineListener& listener)
 {
-    const auto [begin, end] = m_watching.equal_range(digest);
-    const auto known
+    const auto [begin, end] = m_listeners.equal_range(digest);
+    const auto found
         = std::find_if(begin, end, [&listener](const auto& entry) { return entry.second.get() == &listener; });
-    if (known != end)
-        m_watching.erase(known);
+    if (found != end)
+        m_listeners.erase(found);
 }
 
-void CrashGuard::noteLoss(RequestLoss loss)
+void CrashGuard::noteLoss(LostRun loss)
 {
     if (!m_settings.policies.has(Policy::CrashQuarantine))
         return;
@@ -96,72 +96,72 @@
     const auto lastLife = loss.endpoint->lastLife();
     const bool wasLost = m_losses.wasLostBefore(event.endpointId, loss.sentAt, lastLife);
     m_losses.note(event, lastLife);
-    const bool isExcused = wasLost || m_served.has(loss.digest, m_clock.now());
-    const auto weight = isExcused ? 0 : crashWeight(loss.run);
-    if (weight <= 0 || m_charges.size() >= mostCharges)
+    const bool isNotAtFault = wasLost || m_served.has(loss.digest, m_clock.now());
+    const auto weight = isNotAtFault ? 0 : crashWeight(loss.run);
+    if (weight <= 0 || m_pendingLosses.size() >= maxPendingLosses)
         return;
-    m_charges.push_back({ std::move(loss), std::move(event), weight });
-    armJudgement();
+    m_pendingLosses.push_back({ std::move(loss), std::move(event), weight });
+    scheduleEvaluation();
 }
 
-void CrashGuard::armJudgement()
+void CrashGuard::scheduleEvaluation()
 {
-    if (m_isJudgementArmed || m_charges.empty())
+    if (m_isEvaluationScheduled || m_pendingLosses.empty())
         return;
-    m_isJudgementArmed = true;
-    m_judgementTimer.expires_after(m_charges.front().event.at + EndpointLosses::moment - m_clock.now());
-    m_judgementTimer.async_wait([this](boost::system::error_code error) {
+    m_isEvaluationScheduled = true;
+    m_evaluationTimer.expires_after(m_pendingLosses.front().event.at + EndpointLosses::moment - m_clock.now());
+    m_evaluationTimer.async_wait([this](boost::system::error_code error) {
         if (error)
             return;
-        m_isJudgementArmed = false;
-        judge();
+        m_isEvaluationScheduled = false;
+        evaluate();
     });
 }
 
-void CrashGuard::judge()
+void CrashGuard::evaluate()
 {
     const auto due = m_clock.now() - EndpointLosses::moment;
-    while (!m_charges.empty() && m_charges.front().event.at <= due) {
-        const auto charge = std::move(m_charges.front());
-        m_charges.pop_front();
-        judge(charge);
+    while (!m_pendingLosses.empty() && m_pendingLosses.front().event.at <= due) {
+        const auto pendingLoss = std::move(m_pendingLosses.front());
+        m_pendingLosses.pop_front();
+        evaluate(pendingLoss);
     }
-    armJudgement();
+    scheduleEvaluation();
 }
 
-bool CrashGuard::wentWithOthers(const Charge& charge) const
+bool CrashGuard::wentWithOthers(const PendingLoss& pendingLoss) const
 {
     OtherEndpoints others;
-    for (const auto& endpoint : m_directory.endpointsOf(charge.event.service)) {
-        if (endpoint->entry().startName() == charge.event.endpointId)
+    for (const auto& endpoint : m_directory.endpointsOf(pendingLoss.event.service)) {
+        if (endpoint->entry().startName() == pendingLoss.event.endpointId)
             continue;
         ++others.inService;
-        others.inZone += endpoint->entry().availabilityZone == charge.event.zone;
+        others.inZone += endpoint->entry().availabilityZone == pendingLoss.event.zone;
     }
     // An endpoint that has announced its shutdown since the loss was already shutting down at the loss.
-    return charge.loss.endpoint->entry().isDraining || m_losses.wentWithOthers(charge.event, others);
+    return pendingLoss.loss.endpoint->entry().isDraining || m_losses.wentWithOthers(pendingLoss.event, others);
 }
 
-void CrashGuard::judge(const Charge& charge)
+void CrashGuard::evaluate(const PendingLoss& pendingLoss)
 {
-    const auto& loss = charge.loss;
-    const bool isExplained = wentWithOthers(charge);
+    const auto& loss = pendingLoss.loss;
+    const bool isCorrelated = wentWithOthers(pendingLoss);
     LogEvent("quarantine.judged")
         .text("request", loss.requestId)
         .text("digest", loss.digest)
-        .text("endpoint", charge.event.endpointId)
-        .text("zone", charge.event.zone)
+        .text("endpoint", pendingLoss.event.endpointId)
+        .text("zone", pendingLoss.event.zone)
         .text("failure", traitsOf(loss.run.failure).name)
         .text("beginning", nameIn(runBeginningNames, loss.run.beginning))
         .number("worked_ms", loss.run.workedFor.count())
-        .number("weight_percent", inPercent(charge.weight))
-        .flag("went_with_others", isExplained)
+        .number("weight_percent", inPercent(pendingLoss.weight))
+        .flag("went_with_others", isCorrelated)
         .write();
-    if (isExplained)
+    if (isCorrelated)
         return;
-    const CrashRecord record { loss.digest, charge.event.endpointId, loss.endpoint->entry().address.text(),
-        charge.weight, loss.run.workedFor, m_quarantine.isOnTrial(loss.digest, m_clock.now()), timeOfDayAt(loss.sentAt),
-        timeOfDayAt(charge.event.at) };
+    const CrashRecord record { loss.digest, pendingLoss.event.endpointId, loss.endpoint->entry().address.text(),
+        pendingLoss.weight, loss.run.workedFor, m_quarantine.isOnTrial(loss.digest, m_clock.now()),
+        wallClockAt(loss.sentAt), wallClockAt(pendingLoss.event.at) };
     add(record, false);
     for (const auto& unshared : m_quarantine.takeUnshared(loss.digest)) {
         if (m_reports)
@@ -175,7 +175,7 @@
     const bool wasHeld = m_quarantine.isHeld(record.digest, now);
     // A record that arrives late, or again after a restart of this VM, counts from the time of the loss.
     const auto age
-        = std::clamp(Milliseconds { timeOfDayAt(now) - record.lostAt }, Milliseconds { 0 }, Quarantine::recordTime);
+        = std::clamp(Milliseconds { wallClockAt(now) - record.lostAt }, Milliseconds { 0 }, Quarantine::recordTime);
     if (!m_quarantine.add(record, record.lostAt > 0 ? now - age : now, isShared) || wasHeld
         || !m_quarantine.isHeld(record.digest, now))
         return;
@@ -185,15 +185,15 @@
         .number("for_ms", heldFor(record.digest).count())
         .number("suspects", static_cast<std::int64_t>(m_quarantine.suspectCount()))
         .write();
-    tellHeld(record.digest);
+    notifyListeners(record.digest);
 }
 
 // Posted, because a call that ends removes itself from the listeners.
-void CrashGuard::tellHeld(const std::string& digest)
+void CrashGuard::notifyListeners(const std::string& digest)
 {
-    const auto [begin, end] = m_watching.equal_range(digest);
-    for (auto watching = begin; watching != end; ++watching)
-        boost::asio::post(m_ioContext, [listener = watching->second] { listener->requestHeld(); });
+    const auto [begin, end] = m_listeners.equal_range(digest);
+    for (auto registration = begin; registration != end; ++registration)
+        boost::asio::post(m_ioContext, [listener = registration->second] { listener->requestQuarantined(); });
 }
 
 void CrashGuard::noteProducing(const std::string& digest, Milliseconds producedFor)
@@ -205,9 +205,9 @@
 void CrashGuard::noteHarmless(const std::string& digest)
 {
     m_served.note(digest, m_clock.now());
-    m_charges.erase(std::remove_if(m_charges.begin(), m_charges.end(),
-                        [&digest](const Charge& charge) { return charge.loss.digest == digest; }),
-        m_charges.end());
+    m_pendingLosses.erase(std::remove_if(m_pendingLosses.begin(), m_pendingLosses.end(),
+                              [&digest](const PendingLoss& pendingLoss) { return pendingLoss.loss.digest == digest; }),
+        m_pendingLosses.end());
     const bool wasSuspect = m_quarantine.isSuspect(digest);
     const auto endpoints = m_quarantine.clear(digest);
     if (!wasSuspect)
@@ -231,14 +231,14 @@
     m_quarantine.remove(digest, endpointId);
 }
 
-void CrashGuard::armForgetting()
+void CrashGuard::scheduleExpiry()
 {
-    m_forgettingTimer.expires_after(forgettingInterval);
-    m_forgettingTimer.async_wait([this](boost::system::error_code error) {
+    m_expiryTimer.expires_after(expiryInterval);
+    m_expiryTimer.async_wait([this](boost::system::error_code error) {
         if (error)
             return;
         m_quarantine.forgetOld(m_clock.now());
-        armForgetting();
+        scheduleExpiry();
     });
 }
 
--- a/src/relay/CrashGuard.h
+++ b/src/relay/CrashGuard.h
@@ -6,7 +6,7 @@
 // pending losses counted waits for the evaluation. When a request is quarantined, its calls in progress are notified
 // and new ones are refused.
 //
-//     guard.watch(digest, call);                           // call->requestHeld() may follow.
+//     guard.addListener(digest, call);                     // call->requestQuarantined() may follow.
 //     guard.noteLoss(loss);
 //     switch (guard.standing(digest)) ...
 //     guard.noteHarmless(digest);
@@ -34,7 +34,7 @@
 struct RelaySettings;
 
 // A run that its endpoint did not finish, with the request that it belongs to.
-struct RequestLoss {
+struct LostRun {
     std::string requestId;
     std::string digest;
     std::shared_ptr<RelayEndpoint> endpoint;
@@ -43,11 +43,11 @@
     UnfinishedRun run;
 };
 
-class HeldListener {
+class QuarantineListener {
 public:
-    virtual ~HeldListener() = default;
+    virtual ~QuarantineListener() = default;
     // The request is quarantined from now on. Called from the event loop, never from within a call to the guard.
-    virtual void requestHeld() = 0;
+    virtual void requestQuarantined() = 0;
 };
 
 class CrashGuard {
@@ -67,10 +67,10 @@
     Milliseconds heldFor(const std::string& digest) const;
     // True when any loss counts against the request, evaluated or pending.
     bool isSuspect(const std::string& digest) const;
-    // Notifies the listener when the request is quarantined, until unwatch().
-    void watch(const std::string& digest, const std::shared_ptr<HeldListener>&);
-    void unwatch(const std::string& digest, const HeldListener&);
-    void noteLoss(RequestLoss);
+    // Notifies the listener when the request is quarantined, until removeListener().
+    void addListener(const std::string& digest, const std::shared_ptr<QuarantineListener>&);
+    void removeListener(const std::string& digest, const QuarantineListener&);
+    void noteLoss(LostRun);
     // An endpoint has been producing events of the request for this long.
     void noteProducing(const std::string& digest, Milliseconds producedFor);
     // The request has been served, or has otherwise shown that endpoints survive it. Clears its losses; further ones do
@@ -82,21 +82,21 @@
     void drop(const std::string& digest, const std::string& endpointId);
 
 private:
-    struct Charge {
-        RequestLoss loss;
+    struct PendingLoss {
+        LostRun loss;
         EndpointLoss event;
         double weight;
     };
 
-    void armJudgement();
-    void judge();
-    void judge(const Charge&);
-    bool wentWithOthers(const Charge&) const;
-    double openWeight(const std::string& digest) const;
-    std::int64_t timeOfDayAt(Milliseconds instant) const;
+    void scheduleEvaluation();
+    void evaluate();
+    void evaluate(const PendingLoss&);
+    bool wentWithOthers(const PendingLoss&) const;
+    double pendingWeight(const std::string& digest) const;
+    std::int64_t wallClockAt(Milliseconds instant) const;
     void add(const CrashRecord&, bool isShared);
-    void tellHeld(const std::string& digest);
-    void armForgetting();
+    void notifyListeners(const std::string& digest);
+    void scheduleExpiry();
 
     boost::asio::io_context& m_ioContext;
     const Clock& m_clock;
@@ -107,12 +107,12 @@
     ServedRequests m_served;
     Quarantine m_quarantine;
     // Oldest first.
-    std::deque<Charge> m_charges;
+    std::deque<PendingLoss> m_pendingLosses;
     // By digest.
-    std::unordered_multimap<std::string, std::shared_ptr<HeldListener>> m_watching;
-    boost::asio::steady_timer m_judgementTimer;
-    boost::asio::steady_timer m_forgettingTimer;
-    bool m_isJudgementArmed { false };
+    std::unordered_multimap<std::string, std::shared_ptr<QuarantineListener>> m_listeners;
+    boost::asio::steady_timer m_evaluationTimer;
+    boost::asio::steady_timer m_expiryTimer;
+    bool m_isEvaluationScheduled { false };
 };
 
 } // namespace lupinknot::internal
--- a/src/relay/CrashWatch.cpp
+++ b/src/relay/CrashWatch.cpp
@@ -6,25 +6,25 @@
 
 namespace lupinknot::internal {
 
-class CrashWatch::Listener final : public HeldListener {
+class CrashWatch::Listener final : public QuarantineListener {
 public:
-    explicit Listener(std::function<void()> held)
-        : m_held(std::move(held))
+    explicit Listener(std::function<void()> onQuarantined)
+        : m_onQuarantined(std::move(onQuarantined))
     {
     }
 
-    void requestHeld() override
+    void requestQuarantined() override
     {
         // The callback may end the call, which destroys this listener.
-        const auto held = m_held;
-        if (held)
-            held();
+        const auto onQuarantined = m_onQuarantined;
+        if (onQuarantined)
+            onQuarantined();
     }
 
-    void forget() { m_held = nullptr; }
+    void detach() { m_onQuarantined = nullptr; }
 
 private:
-    std::function<void()> m_held;
+    std::function<void()> m_onQuarantined;
 };
 
 CrashWatch::CrashWatch(RelayContext& context, const RelayRequest& request)
@@ -35,18 +35,18 @@
 
 CrashWatch::~CrashWatch() { end(); }
 
-void CrashWatch::begin(std::function<void()> held)
+void CrashWatch::begin(std::function<void()> onQuarantined)
 {
-    m_listener = std::make_shared<Listener>(std::move(held));
-    m_context.crashGuard.watch(m_request.digest, m_listener);
+    m_listener = std::make_shared<Listener>(std::move(onQuarantined));
+    m_context.crashGuard.addListener(m_request.digest, m_listener);
 }
 
 void CrashWatch::end()
 {
     if (!m_listener)
         return;
-    m_listener->forget();
-    m_context.crashGuard.unwatch(m_request.digest, *m_listener);
+    m_listener->detach();
+    m_context.crashGuard.removeListener(m_request.digest, *m_listener);
     m_listener.reset();
 }
 
--- a/src/relay/CrashWatch.h
+++ b/src/relay/CrashWatch.h
@@ -27,7 +27,7 @@
     CrashWatch& operator=(const CrashWatch&) = delete;
 
     // The callback is never called after end(), nor from within a call to this object.
-    void begin(std::function<void()> held);
+    void begin(std::function<void()> onQuarantined);
     void end();
     // The request's state before its next attempt. possibleRuns: attempts so far that an endpoint may have run.
     AttemptState attemptState(unsigned possibleRuns) const;
--- a/src/relay/PermitWait.cpp
+++ b/src/relay/PermitWait.cpp
@@ -9,14 +9,14 @@
 namespace lupinknot::internal {
 
 std::shared_ptr<PermitWait> PermitWait::start(
-    RelayContext& context, std::shared_ptr<RelayEndpoint> endpoint, Milliseconds patience, Callback callback)
+    RelayContext& context, std::shared_ptr<RelayEndpoint> endpoint, Milliseconds maxWait, Callback callback)
 {
     std::shared_ptr<PermitWait> wait(new PermitWait(context, std::move(endpoint), std::move(callback)));
-    const auto& asked = *wait->m_endpoint;
-    context.permits->ask({ asked.entry().startName(), asked.limitNews(context.now()), patience },
+    const auto& target = *wait->m_endpoint;
+    context.permits->ask({ target.entry().startName(), target.limitNews(context.now()), maxWait },
         [weak = wait->weak_from_this()](const PermitAnswer& answer) {
             if (const auto self = weak.lock())
-                self->answered(answer);
+                self->handleAnswer(answer);
         });
     return wait;
 }
@@ -29,7 +29,7 @@
 {
 }
 
-void PermitWait::answered(const PermitAnswer& answer)
+void PermitWait::handleAnswer(const PermitAnswer& answer)
 {
     const auto now = m_context.now();
     m_endpoint->noteLimitNews(answer.news, now);
@@ -41,32 +41,32 @@
     (answer.isGranted ? m_context.metrics.permitsGranted : m_context.metrics.permitsDenied).Increment();
     if (!answer.isGranted) {
         m_endpoint->denyPermitsUntil(now + answer.wait);
-        settle(false);
+        finish(false);
         return;
     }
-    m_perSecond = m_endpoint->limit().perSecond();
+    m_grantedPerSecond = m_endpoint->limit().perSecond();
     if (answer.wait == Milliseconds { 0 }) {
-        placeCame();
+        slotReached();
         return;
     }
     m_timer.expires_after(answer.wait);
     m_timer.async_wait([weak = weak_from_this()](boost::system::error_code error) {
         const auto self = weak.lock();
         if (!error && self)
-            self->placeCame();
+            self->slotReached();
     });
 }
 
 // What the endpoint has announced since overrides the permit: a lower limit, backoff or its shutdown.
-void PermitWait::placeCame()
+void PermitWait::slotReached()
 {
     const auto perSecond = m_endpoint->limit().perSecond();
-    const bool hasFallen = perSecond && (!m_perSecond || *perSecond < *m_perSecond);
+    const bool hasLimitFallen = perSecond && (!m_grantedPerSecond || *perSecond < *m_grantedPerSecond);
     const bool mayTakeWork = m_endpoint->mayTakeWork(m_context.now(), m_context.settings.leavingEndpointGrace);
-    settle(!hasFallen && mayTakeWork);
+    finish(!hasLimitFallen && mayTakeWork);
 }
 
-void PermitWait::settle(bool isGranted)
+void PermitWait::finish(bool isGranted)
 {
     const auto self = shared_from_this();
     if (const auto callback = std::exchange(m_callback, nullptr))
--- a/src/relay/PermitWait.h
+++ b/src/relay/PermitWait.h
@@ -23,19 +23,19 @@
 
     // maxWait: the longest time that the request can wait for its slot.
     static std::shared_ptr<PermitWait> start(
-        RelayContext&, std::shared_ptr<RelayEndpoint>, Milliseconds patience, Callback);
+        RelayContext&, std::shared_ptr<RelayEndpoint>, Milliseconds maxWait, Callback);
 
 private:
     PermitWait(RelayContext&, std::shared_ptr<RelayEndpoint>, Callback);
-    void answered(const PermitAnswer&);
-    void placeCame();
-    void settle(bool isGranted);
+    void handleAnswer(const PermitAnswer&);
+    void slotReached();
+    void finish(bool isGranted);
 
     RelayContext& m_context;
     const std::shared_ptr<RelayEndpoint> m_endpoint;
     Callback m_callback;
     // The limit, in requests per second, under which the permit was granted.
-    std::optional<double> m_perSecond;
+    std::optional<double> m_grantedPerSecond;
     boost::asio::steady_timer m_timer;
 };
 
--- a/src/relay/RolloutPart.cpp
+++ b/src/relay/RolloutPart.cpp
@@ -14,7 +14,7 @@
 // slower; the prefill of another prompt at an engine alone doubles the time to a stream's first event.
 constexpr int slowFactor = 3;
 // Answers faster than this are never slow: for short times a multiple of the usual time is not significant.
-constexpr Milliseconds shortestSlowTime { 50 };
+constexpr Milliseconds minSlowLatency { 50 };
 
 } // namespace
 
@@ -36,16 +36,16 @@
     auto* const rollout = m_context.rollouts.find(m_request.service);
     if (!rollout)
         return {};
-    if (!m_hasSent && m_first)
-        return *m_first;
+    if (!m_hasSent && m_firstChoice)
+        return *m_firstChoice;
     const auto proven = rollout->proven(m_context.now());
     if (m_hasSent)
         return hasRunner(proven) ? proven : VersionChoice {};
     const VersionChoice candidate { VersionChoice::Rule::Only, rollout->order().candidate };
     const auto choice = hasRunner(candidate) ? rollout->choose(m_context.now()) : proven;
     // When no runner of the chosen version is left, any version serves the caller.
-    m_first = hasRunner(choice) ? choice : VersionChoice {};
-    return *m_first;
+    m_firstChoice = hasRunner(choice) ? choice : VersionChoice {};
+    return *m_firstChoice;
 }
 
 VersionChoice RolloutPart::forCopies(const RelayEndpoint& engine) const
@@ -70,9 +70,9 @@
         m_request.route->name, isCandidate ? RunnerVersion::Candidate : RunnerVersion::Present, quality);
 }
 
-void RolloutPart::noteAnswerAfter(const RelayEndpoint& endpoint, Milliseconds took, Milliseconds usual) const
+void RolloutPart::noteAnswerAfter(const RelayEndpoint& endpoint, Milliseconds latency, Milliseconds usualLatency) const
 {
-    const bool isSlow = took > std::max(slowFactor * usual, shortestSlowTime);
+    const bool isSlow = latency > std::max(slowFactor * usualLatency, minSlowLatency);
     noteAnswer(endpoint, isSlow ? AnswerQuality::Bad : AnswerQuality::Good);
 }
 
--- a/src/relay/RolloutPart.h
+++ b/src/relay/RolloutPart.h
@@ -31,7 +31,7 @@
     void noteSent() { m_hasSent = true; }
     void noteAnswer(const RelayEndpoint&, AnswerQuality) const;
     // Rates an answer by its latency, for answers whose usual latency is known.
-    void noteAnswerAfter(const RelayEndpoint&, Milliseconds took, Milliseconds usual) const;
+    void noteAnswerAfter(const RelayEndpoint&, Milliseconds latency, Milliseconds usualLatency) const;
 
 private:
     bool hasRunner(const VersionChoice&) const;
@@ -39,7 +39,7 @@
     RelayContext& m_context;
     const RelayRequest& m_request;
     // The choice for the first send, once made.
-    std::optional<VersionChoice> m_first;
+    std::optional<VersionChoice> m_firstChoice;
     bool m_hasSent { false };
 };
 
--- a/src/relay/RunCopy.cpp
+++ b/src/relay/RunCopy.cpp
@@ -7,14 +7,14 @@
 
 std::shared_ptr<RelayEndpoint> copyHolderOf(const StreamRun& run, const EndpointDirectory& directory)
 {
-    const auto& ordered = run.copyHolder;
-    if (!ordered || !ordered->isRemoved())
-        return ordered;
-    const auto& entry = ordered->entry();
+    const auto& recorded = run.copyHolder;
+    if (!recorded || !recorded->isRemoved())
+        return recorded;
+    const auto& entry = recorded->entry();
     if (directory.hasZoneFailedSince(entry.availabilityZone, run.startedAt))
-        return ordered;
-    const auto present = directory.findAt(entry.service, entry.address);
-    return present ? present : ordered;
+        return recorded;
+    const auto current = directory.findAt(entry.service, entry.address);
+    return current ? current : recorded;
 }
 
 } // namespace lupinknot::internal
--- a/src/relay/RunLocationCache.cpp
+++ b/src/relay/RunLocationCache.cpp
@@ -11,8 +11,8 @@
 void RunLocationCache::put(const std::string& promptId, RunLocation location, Milliseconds now)
 {
     m_entries.insert_or_assign(promptId, Entry { std::move(location), now });
-    m_ages.push_back({ promptId, now });
-    dropOld(now);
+    m_insertions.push_back({ promptId, now });
+    evictOld(now);
 }
 
 void RunLocationCache::remove(const std::string& promptId) { m_entries.erase(promptId); }
@@ -20,18 +20,19 @@
 const RunLocation* RunLocationCache::find(const std::string& promptId, Milliseconds now) const
 {
     const auto found = m_entries.find(promptId);
-    return found == m_entries.end() || isExpired(found->second.at, now) ? nullptr : &found->second.location;
+    return found == m_entries.end() || isExpired(found->second.storedAt, now) ? nullptr : &found->second.location;
 }
 
-void RunLocationCache::dropOld(Milliseconds now)
+void RunLocationCache::evictOld(Milliseconds now)
 {
     // m_insertions may hold more elements than m_entries, because a prompt may be put more than once.
-    while (!m_ages.empty() && (m_ages.size() > m_capacity || isExpired(m_ages.front().at, now))) {
-        const auto& oldest = m_ages.front();
+    while (
+        !m_insertions.empty() && (m_insertions.size() > m_capacity || isExpired(m_insertions.front().storedAt, now))) {
+        const auto& oldest = m_insertions.front();
         const auto found = m_entries.find(oldest.promptId);
-        if (found != m_entries.end() && found->second.at == oldest.at)
+        if (found != m_entries.end() && found->second.storedAt == oldest.storedAt)
             m_entries.erase(found);
-        m_ages.pop_front();
+        m_insertions.pop_front();
     }
 }
 
--- a/src/relay/RunLocationCache.h
+++ b/src/relay/RunLocationCache.h
@@ -28,21 +28,21 @@
 private:
     struct Entry {
         RunLocation location;
-        Milliseconds at;
+        Milliseconds storedAt;
     };
-    struct Age {
+    struct Insertion {
         std::string promptId;
-        Milliseconds at;
+        Milliseconds storedAt;
     };
 
-    bool isExpired(Milliseconds at, Milliseconds now) const { return now - at > m_lifetime; }
-    void dropOld(Milliseconds now);
+    bool isExpired(Milliseconds storedAt, Milliseconds now) const { return now - storedAt > m_lifetime; }
+    void evictOld(Milliseconds now);
 
     const Milliseconds m_lifetime;
     const std::size_t m_capacity;
     std::unordered_map<std::string, Entry> m_entries;
     // In insertion order. Replaced or removed entries leave their earlier element here.
-    std::deque<Age> m_ages;
+    std::deque<Insertion> m_insertions;
 };
 
 } // namespace lupinknot::internal
--- a/src/relay/RunMover.cpp
+++ b/src/relay/RunMover.cpp
@@ -38,7 +38,7 @@
 void RunMover::consider(const StreamRun& run, const StreamOutlook& outlook, Engines failed)
 {
     const auto now = m_context.now();
-    if (m_context.has(Policy::MovesAhead) && !m_relocation && now >= m_nextAt && lacksCopy(run, now)
+    if (m_context.has(Policy::MovesAhead) && !m_relocation && now >= m_nextMoveAt && lacksCopy(run, now)
         && mayMove(run, outlook, now))
         move(run, std::move(failed), now);
 }
@@ -59,22 +59,22 @@
     const bool isPossible
         = service && service->copiesRunningMemory && m_request.route->mayRunAgain() && !run.endpoint->isResting(now);
     // A run at a candidate version is not sent to that version again, and its KV cache cannot move to another version.
-    const bool isAtHome = m_rollout.next().admits(run.endpoint->entry().version);
-    return isPossible && isAtHome && outlook.leavesAttempt && run.hasEvent
+    const bool isVersionAllowed = m_rollout.next().admits(run.endpoint->entry().version);
+    return isPossible && isVersionAllowed && outlook.leavesAttempt && run.hasEvent
         && outlook.expectedRest >= m_context.settings.relocateUnlessDoneWithin
         && !m_context.directory.isZoneAvoided(run.endpoint->entry().availabilityZone, now);
 }
 
 void RunMover::move(const StreamRun& run, Engines excluded, Milliseconds now)
 {
-    if (m_nextAt == Milliseconds { 0 }) {
+    if (m_nextMoveAt == Milliseconds { 0 }) {
         // Many streams lose their copies at the same time, and copies queue on the engines' network links.
         const auto spread = static_cast<std::uint64_t>(m_context.settings.relocationSpread.count());
         const auto delay = std::hash<std::string>()(m_request.fields.requestId) % std::max<std::uint64_t>(spread, 1);
-        m_nextAt = now + Milliseconds { static_cast<std::int64_t>(delay) };
+        m_nextMoveAt = now + Milliseconds { static_cast<std::int64_t>(delay) };
         return;
     }
-    m_nextAt = now + m_context.settings.relocateAfter;
+    m_nextMoveAt = now + m_context.settings.relocateAfter;
     excluded.push_back(run.endpoint);
     const auto target = m_context.placement.choose({ .service = m_request.service,
                                                        .excluded = std::move(excluded),
--- a/src/relay/RunMover.h
+++ b/src/relay/RunMover.h
@@ -72,7 +72,7 @@
     const Callback m_callback;
     std::shared_ptr<RunRelocation> m_relocation;
     // Earliest time of the next move. 0 until a first delay is set, which spreads the moves of many streams.
-    Milliseconds m_nextAt { 0 };
+    Milliseconds m_nextMoveAt { 0 };
 };
 
 } // namespace lupinknot::internal
--- a/src/relay/RunRelocation.cpp
+++ b/src/relay/RunRelocation.cpp
@@ -12,7 +12,7 @@
 {
     std::shared_ptr<RunRelocation> relocation(
         new RunRelocation(context, std::move(source), std::move(target), std::move(requestId), std::move(callback)));
-    relocation->ask();
+    relocation->sendRequest();
     return relocation;
 }
 
@@ -26,19 +26,19 @@
 {
 }
 
-void RunRelocation::ask()
+void RunRelocation::sendRequest()
 {
     const auto& settings = m_context.settings;
     const auto limit = m_isStopping ? settings.relocationStopTimeout : settings.relocationCopyTimeout;
     const auto request = m_context.protocol.encodeMoveRun(m_requestId, m_target->entry().address, m_isStopping);
-    m_question = HttpQuestion::ask(m_context.ioContext, m_source->openConnection(), request, limit,
+    m_pendingRequest = HttpQuestion::ask(m_context.ioContext, m_source->openConnection(), request, limit,
         [weak = weak_from_this()](const HttpOutcome& outcome) {
             if (const auto self = weak.lock())
-                self->answered(outcome);
+                self->handleAnswer(outcome);
         });
 }
 
-void RunRelocation::answered(const HttpOutcome& outcome)
+void RunRelocation::handleAnswer(const HttpOutcome& outcome)
 {
     if (outcome.answer)
         m_source->noteSignals(m_context.protocol.decodeAnswer(*outcome.answer), m_context.now());
@@ -46,22 +46,22 @@
     if (!m_isStopping) {
         // The run also stays at the source when the source has asked for backoff in the meantime.
         if (!moved.isCopied || m_source->isResting(m_context.now())) {
-            settle(RelocationResult::Refused, "");
+            finish(RelocationResult::Refused, "");
             return;
         }
         m_isStopping = true;
-        ask();
+        sendRequest();
         return;
     }
     if (moved.isCopied)
-        settle(RelocationResult::Moved, moved.handle);
+        finish(RelocationResult::Moved, moved.handle);
     else if (!moved.handle.empty())
-        settle(RelocationResult::Stopped, moved.handle);
+        finish(RelocationResult::Stopped, moved.handle);
     else
-        settle(RelocationResult::Unknown, "");
+        finish(RelocationResult::Unknown, "");
 }
 
-void RunRelocation::settle(RelocationResult result, const std::string& handle)
+void RunRelocation::finish(RelocationResult result, const std::string& handle)
 {
     const auto self = shared_from_this();
     if (const auto callback = std::exchange(m_callback, nullptr))
--- a/src/relay/RunRelocation.h
+++ b/src/relay/RunRelocation.h
@@ -48,16 +48,16 @@
 private:
     RunRelocation(RelayContext&, std::shared_ptr<RelayEndpoint> source, std::shared_ptr<RelayEndpoint> target,
         std::string requestId, Callback);
-    void ask();
-    void answered(const HttpOutcome&);
-    void settle(RelocationResult, const std::string& handle);
+    void sendRequest();
+    void handleAnswer(const HttpOutcome&);
+    void finish(RelocationResult, const std::string& handle);
 
     RelayContext& m_context;
     const std::shared_ptr<RelayEndpoint> m_source;
     const std::shared_ptr<RelayEndpoint> m_target;
     const std::string m_requestId;
     Callback m_callback;
-    std::shared_ptr<HttpQuestion> m_question;
+    std::shared_ptr<HttpQuestion> m_pendingRequest;
     bool m_isStopping { false };
 };
 
--- a/src/relay/RunWatch.cpp
+++ b/src/relay/RunWatch.cpp
@@ -37,30 +37,30 @@
 
 void RunWatch::begin(std::shared_ptr<const StreamRun> run)
 {
-    m_question.reset();
+    m_probe.reset();
     m_run = std::move(run);
-    m_nextQuestionAt = m_context.now();
-    armLook();
+    m_nextProbeAt = m_context.now();
+    scheduleCheck();
 }
 
 void RunWatch::stop()
 {
     m_run.reset();
-    m_question.reset();
+    m_probe.reset();
     m_timer.cancel();
 }
 
-void RunWatch::armLook()
+void RunWatch::scheduleCheck()
 {
     m_timer.expires_after(m_context.settings.probeAfterSilenceInDoubt);
     m_timer.async_wait([weak = weak_from_this()](boost::system::error_code error) {
         const auto self = weak.lock();
         if (!error && self && self->m_run)
-            self->look();
+            self->check();
     });
 }
 
-void RunWatch::look()
+void RunWatch::check()
 {
     const auto now = m_context.now();
     const auto& settings = m_context.settings;
@@ -71,12 +71,12 @@
     }
     // Events of other streams also show that the engine is alive.
     const auto silence = now - std::max(m_run->lastActivity, m_run->endpoint->lastLife());
-    const bool mayAsk = m_context.has(Policy::LivenessQuestions) && !m_run->endpoint->isResting(now);
-    if (mayAsk && silence >= silenceBeforeQuestion(now) && now >= m_nextQuestionAt && !m_question)
-        ask();
-    m_callbacks.looked();
+    const bool mayProbe = m_context.has(Policy::LivenessQuestions) && !m_run->endpoint->isResting(now);
+    if (mayProbe && silence >= silenceBeforeQuestion(now) && now >= m_nextProbeAt && !m_probe)
+        sendProbe();
+    m_callbacks.onChecked();
     if (m_run)
-        armLook();
+        scheduleCheck();
 }
 
 Milliseconds RunWatch::silenceBeforeQuestion(Milliseconds now) const
@@ -90,21 +90,21 @@
     return settings.prefillPatience + pace.silenceBeforeFirstEvent(m_request.fields.promptTokens);
 }
 
-void RunWatch::ask()
+void RunWatch::sendProbe()
 {
-    m_nextQuestionAt = m_context.now() + m_context.settings.probeInterval;
+    m_nextProbeAt = m_context.now() + m_context.settings.probeInterval;
     m_context.metrics.engineProbes.Increment();
-    m_question = HttpQuestion::ask(m_context.ioContext, m_run->endpoint->openConnection(),
+    m_probe = HttpQuestion::ask(m_context.ioContext, m_run->endpoint->openConnection(),
         m_context.protocol.encodeStateQuery(), m_context.settings.probeTimeout,
         [weak = weak_from_this()](const HttpOutcome& outcome) {
             if (const auto self = weak.lock())
-                self->answered(outcome);
+                self->handleProbeAnswer(outcome);
         });
 }
 
-void RunWatch::answered(const HttpOutcome& outcome)
+void RunWatch::handleProbeAnswer(const HttpOutcome& outcome)
 {
-    const auto question = std::exchange(m_question, nullptr);
+    const auto probe = std::exchange(m_probe, nullptr);
     if (!m_run)
         return;
     const auto now = m_context.now();
@@ -118,7 +118,7 @@
 void RunWatch::reportSilent()
 {
     stop();
-    m_callbacks.silent();
+    m_callbacks.onSilent();
 }
 
 } // namespace lupinknot::internal
--- a/src/relay/RunWatch.h
+++ b/src/relay/RunWatch.h
@@ -26,9 +26,9 @@
 public:
     struct Callbacks {
         // The engine has become silent. Called at most once per run.
-        std::function<void()> silent;
+        std::function<void()> onSilent;
         // Called after each periodic check of a run that is not silent.
-        std::function<void()> looked;
+        std::function<void()> onChecked;
     };
 
     // The request must outlive the watch.
@@ -37,24 +37,24 @@
 
     void begin(std::shared_ptr<const StreamRun>);
     // An event of the run has arrived, which answers a pending probe.
-    void noteEvent() { m_question.reset(); }
+    void noteEvent() { m_probe.reset(); }
     void stop();
 
 private:
     RunWatch(RelayContext&, const RelayRequest&, Callbacks);
-    void armLook();
-    void look();
+    void scheduleCheck();
+    void check();
     Milliseconds silenceBeforeQuestion(Milliseconds now) const;
-    void ask();
-    void answered(const HttpOutcome&);
+    void sendProbe();
+    void handleProbeAnswer(const HttpOutcome&);
     void reportSilent();
 
     RelayContext& m_context;
     const RelayRequest& m_request;
     const Callbacks m_callbacks;
     std::shared_ptr<const StreamRun> m_run;
-    std::shared_ptr<HttpQuestion> m_question;
-    Milliseconds m_nextQuestionAt { 0 };
+    std::shared_ptr<HttpQuestion> m_probe;
+    Milliseconds m_nextProbeAt { 0 };
     boost::asio::steady_timer m_timer;
 };
 
--- a/test/CrashingRequestTest.cpp
+++ b/test/CrashingRequestTest.cpp
@@ -13,7 +13,7 @@
 TEST_GROUP(CrashingRequest)
 {
     // Three crashes identify the request; three retries may be in progress by then.
-    static constexpr std::size_t mostArrivals = 6;
+    static constexpr std::size_t maxArrivals = 6;
 
     std::unique_ptr<RelayHarness> relay;
     std::vector<ScriptedEndpoint*> endpoints;
@@ -49,25 +49,25 @@
             add("e" + std::to_string(i), zones.substr(i % zones.size(), 1), script);
     }
 
-    void ready()
+    void configureAndList()
     {
         relay->configure();
         relay->list();
     }
 
-    void await(const std::shared_ptr<TestCaller>& caller)
+    void waitForEnd(const std::shared_ptr<TestCaller>& caller)
     {
         CHECK_TEXT(relay->runUntil([&] { return caller->isWhole || caller->isBroken; }),
             "the call neither finished nor failed");
     }
 
     // Repeats the call with a new request id each time. Returns the last answer.
-    std::shared_ptr<TestCaller> comeBack(const std::string& path, int times)
+    std::shared_ptr<TestCaller> repeatCall(const std::string& path, int times)
     {
         std::shared_ptr<TestCaller> caller;
         for (int i = 0; i < times; ++i) {
             caller = relay->call(path, {}, "r" + std::to_string(i));
-            await(caller);
+            waitForEnd(caller);
         }
         return caller;
     }
@@ -83,79 +83,80 @@
     }
 
     // The engine begins the run and crashes, which also breaks its other connections.
-    static void beginAndCrash(ScriptedConnection & asker, const std::string&)
+    static void beginAndCrash(ScriptedConnection & connection, const std::string&)
     {
-        asker.beginStream("X-Response-Signature: s\r\n");
-        asker.close();
+        connection.beginStream("X-Response-Signature: s\r\n");
+        connection.close();
     }
 
-    static void reset(ScriptedConnection & asker, const std::string&) { asker.reset(); }
+    static void reset(ScriptedConnection & connection, const std::string&) { connection.reset(); }
 
-    static ScriptedConnection::OnRequest serves()
+    static ScriptedConnection::OnRequest servingScript()
     {
-        return [](ScriptedConnection& asker, const std::string&) {
-            asker.beginStream("X-Response-Signature: s\r\n");
-            asker.sendEvent(1);
-            asker.endStream();
+        return [](ScriptedConnection& connection, const std::string&) {
+            connection.beginStream("X-Response-Signature: s\r\n");
+            connection.sendEvent(1);
+            connection.endStream();
         };
     }
 };
 
-TEST(CrashingRequest, IsRefusedAtOnceOnceThreeEnginesHaveEndedUnderIt)
+TEST(CrashingRequest, IsRefusedAtOnceAfterThreeEngineCrashes)
 {
     addInFourZones(16, beginAndCrash);
-    ready();
-    comeBack("/stream/1", 4);
+    configureAndList();
+    repeatCall("/stream/1", 4);
     CHECK_TEXT(arrivals("/stream/1") >= 3, "the request was quarantined before three engines had crashed");
     const auto before = arrivals("/stream/1");
-    CHECK_TEXT(before <= mostArrivals, "the request was sent to more engines after it had crashed three");
-    const auto caller = comeBack("/stream/1", 1);
+    CHECK_TEXT(before <= maxArrivals, "the request was sent to more engines after it had crashed three");
+    const auto caller = repeatCall("/stream/1", 1);
     LONGS_EQUAL_TEXT(503, caller->head.status, "an attempt of the quarantined request was not refused");
     CHECK_TEXT(caller->header("Retry-After") != "absent", "the refusal lacks a Retry-After header");
     LONGS_EQUAL(before, arrivals("/stream/1"));
 }
 
-TEST(CrashingRequest, IsNotSentOnToPlainServicesEither)
+TEST(CrashingRequest, IsNotRetriedEndlesslyAtPlainServices)
 {
     addInFourZones(8, reset);
-    ready();
-    comeBack("/again/1", 6);
+    configureAndList();
+    repeatCall("/again/1", 6);
     CHECK_TEXT(arrivals("/again/1") >= 3, "the call was quarantined before three endpoints had crashed");
-    CHECK_TEXT(arrivals("/again/1") <= mostArrivals, "the call was sent to more endpoints after it had crashed three");
+    CHECK_TEXT(arrivals("/again/1") <= maxArrivals, "the call was sent to more endpoints after it had crashed three");
 }
 
-TEST(CrashingRequest, ThatMayRunOnlyOnceAnAttemptIsNotSentAtItsNextAttempts)
+TEST(CrashingRequest, IsNotSentOnCallerRetriesOfSingleRunRoute)
 {
     addInFourZones(12, reset);
-    ready();
-    comeBack("/once/1", 12);
-    CHECK_TEXT(arrivals("/once/1") <= mostArrivals, "the call was sent to more endpoints after it had crashed three");
+    configureAndList();
+    repeatCall("/once/1", 12);
+    CHECK_TEXT(arrivals("/once/1") <= maxArrivals, "the call was sent to more endpoints after it had crashed three");
 }
 
-TEST(CrashingRequest, HoldsNoOtherRequestBack)
+TEST(CrashingRequest, DoesNotQuarantineOtherRequests)
 {
-    const auto script = [](ScriptedConnection& asker, const std::string& request) {
+    const auto script = [](ScriptedConnection& connection, const std::string& request) {
         if (request.find("/stream/1 ") != std::string::npos)
-            beginAndCrash(asker, request);
+            beginAndCrash(connection, request);
         else
-            serves()(asker, request);
+            servingScript()(connection, request);
     };
     addInFourZones(8, script);
-    ready();
-    comeBack("/stream/1", 4);
-    LONGS_EQUAL(200, comeBack("/stream/2", 1)->head.status);
+    configureAndList();
+    repeatCall("/stream/1", 4);
+    LONGS_EQUAL(200, repeatCall("/stream/2", 1)->head.status);
 }
 
 // One zone after another loses all its engines at once, each time just after this request has begun there.
-TEST(CrashingRequest, IsNotWhatARequestIsThatLosesItsEnginesWithTheirZones)
+TEST(CrashingRequest, IsNotAssumedWhenWholeZonesFail)
 {
     constexpr std::size_t enginesInAZone = 3;
     const std::string zones = "abc";
-    const auto begin
-        = [](ScriptedConnection& asker, const std::string&) { asker.beginStream("X-Response-Signature: s\r\n"); };
+    const auto begin = [](ScriptedConnection& connection, const std::string&) {
+        connection.beginStream("X-Response-Signature: s\r\n");
+    };
     for (std::size_t i = 0; i < zones.size() * enginesInAZone; ++i)
         add("e" + std::to_string(i), zones.substr(i / enginesInAZone, 1), begin);
-    ready();
+    configureAndList();
     std::vector<std::shared_ptr<TestCaller>> others;
     for (std::size_t i = 0; i < endpoints.size(); ++i)
         others.push_back(relay->call("/stream/other" + std::to_string(i), {}, "o" + std::to_string(i)));
@@ -165,14 +166,14 @@
         const auto hasBegun = [&] {
             for (zone = 0; zone < zones.size(); ++zone) {
                 std::size_t busy = 0;
-                bool isThere = false;
+                bool hasRequest = false;
                 for (std::size_t i = 0; i < enginesInAZone; ++i) {
                     const auto& engine = *endpoints[zone * enginesInAZone + i];
                     busy += !engine.requests().empty();
                     for (const auto& request : engine.requests())
-                        isThere = isThere || request.find("/stream/1 ") != std::string::npos;
+                        hasRequest = hasRequest || request.find("/stream/1 ") != std::string::npos;
                 }
-                if (isThere && busy == enginesInAZone)
+                if (hasRequest && busy == enginesInAZone)
                     return true;
             }
             return false;
@@ -184,11 +185,11 @@
             engine.forgetRequests();
         }
         if (lost + 1 == zones.size()) {
-            add("last", "d", serves());
+            add("last", "d", servingScript());
             relay->list();
         }
     }
-    await(caller);
+    waitForEnd(caller);
     LONGS_EQUAL(200, caller->head.status);
 }
 
@@ -199,92 +200,92 @@
 // came within 0.6 s after a restart of all VMs, which knew of no loss then, and the trial met another lost engine. A
 // stream's run begins with its prefill, which takes longer than any of these connections lasted. The store coming back
 // in between changed neither the records nor the quarantine times.
-TEST(CrashingRequest, IsNotWhatARequestIsThatMeetsEnginesThatHadGoneBeforeIt)
+TEST(CrashingRequest, IsNotAssumedWhenEnginesWereGoneBefore)
 {
-    addInFourZones(8, [](ScriptedConnection& asker, const std::string&) { asker.close(); });
-    ready();
-    comeBack("/stream/1", 4);
+    addInFourZones(8, [](ScriptedConnection& connection, const std::string&) { connection.close(); });
+    configureAndList();
+    repeatCall("/stream/1", 4);
     for (std::size_t i = 0; i < 4; ++i)
-        add("back" + std::to_string(i), "a", serves());
+        add("back" + std::to_string(i), "a", servingScript());
     relay->list();
     LONGS_EQUAL_TEXT(
-        200, comeBack("/stream/1", 1)->head.status, "the request is quarantined for engines that it did not crash");
+        200, repeatCall("/stream/1", 1)->head.status, "the request is quarantined for engines that it did not crash");
 }
 
 // Each engine announces that it leaves and stops just after the request has begun there.
-TEST(CrashingRequest, IsNotWhatARequestIsThatMeetsARollingStop)
+TEST(CrashingRequest, IsNotAssumedDuringRollingStop)
 {
     constexpr int stops = 4;
     int stopped = 0;
     for (int i = 0; i < stops + 1; ++i) {
         const auto id = "e" + std::to_string(i);
-        add(id, "a", [this, id, &stopped](ScriptedConnection& asker, const std::string& request) {
+        add(id, "a", [this, id, &stopped](ScriptedConnection& connection, const std::string& request) {
             if (stopped++ == stops) {
-                serves()(asker, request);
+                servingScript()(connection, request);
                 return;
             }
-            asker.beginStream("X-Response-Signature: s\r\n");
+            connection.beginStream("X-Response-Signature: s\r\n");
             const auto now = relay->daemon().clock().now();
             auto entry = relay->daemon().directory().find(id)->entry();
             entry.isDraining = true;
             relay->daemon().directory().upsert(std::move(entry), now);
-            asker.close();
+            connection.close();
         });
     }
-    ready();
+    configureAndList();
     const auto caller = relay->call("/stream/1");
-    await(caller);
+    waitForEnd(caller);
     LONGS_EQUAL(200, caller->head.status);
     LONGS_EQUAL(stops + 1, arrivals("/stream/1"));
 }
 
 // The only engine crashes and restarts repeatedly, whatever it runs. An attempt waits for it only for a limited time.
-TEST(CrashingRequest, IsNotWhatARequestIsThatMeetsAReturningEngine)
+TEST(CrashingRequest, IsNotAssumedWhenEngineRestartsRepeatedly)
 {
     int crashes = 0;
-    add("e1", "a", [&crashes](ScriptedConnection& asker, const std::string& request) {
+    add("e1", "a", [&crashes](ScriptedConnection& connection, const std::string& request) {
         if (++crashes <= 4)
-            beginAndCrash(asker, request);
+            beginAndCrash(connection, request);
         else
-            serves()(asker, request);
+            servingScript()(connection, request);
     });
-    ready();
-    auto caller = comeBack("/stream/1", 1);
+    configureAndList();
+    auto caller = repeatCall("/stream/1", 1);
     for (int i = 0; i < 3 && caller->head.status != 200; ++i)
-        caller = comeBack("/stream/1", 1);
+        caller = repeatCall("/stream/1", 1);
     LONGS_EQUAL(200, caller->head.status);
     LONGS_EQUAL(5, crashes);
 }
 
 // Engines that crash under another request also break the requests that wait there for their first token.
-TEST(CrashingRequest, IsNotWhatARequestIsThatOnlyWaitedBesideOne)
+TEST(CrashingRequest, IsNotAssumedForRequestsWaitingBesideOne)
 {
     int lost = 0;
-    const auto script = [&lost](ScriptedConnection& asker, const std::string& request) {
+    const auto script = [&lost](ScriptedConnection& connection, const std::string& request) {
         if (request.find("/stream/2 ") != std::string::npos || lost++ >= 4)
-            serves()(asker, request);
+            servingScript()(connection, request);
         else
-            asker.reset();
+            connection.reset();
     };
     addInFourZones(8, script);
-    ready();
-    LONGS_EQUAL(200, comeBack("/stream/2", 1)->head.status);
-    LONGS_EQUAL(200, comeBack("/stream/1", 1)->head.status);
+    configureAndList();
+    LONGS_EQUAL(200, repeatCall("/stream/2", 1)->head.status);
+    LONGS_EQUAL(200, repeatCall("/stream/1", 1)->head.status);
     LONGS_EQUAL(5, arrivals("/stream/1"));
 }
 
 // Many callers send the same request and its endpoints crash for another reason; the request was served just before.
-TEST(CrashingRequest, IsNotWhatARequestIsThatWasServedLately)
+TEST(CrashingRequest, IsNotAssumedForRecentlyServedRequest)
 {
-    int asked = 0;
-    addInFourZones(12, [&asked](ScriptedConnection& asker, const std::string&) {
-        if (++asked == 1 || asked > 9)
-            asker.answer(200, "X-Response-Signature: s\r\n", "whole");
+    int callCount = 0;
+    addInFourZones(12, [&callCount](ScriptedConnection& connection, const std::string&) {
+        if (++callCount == 1 || callCount > 9)
+            connection.answer(200, "X-Response-Signature: s\r\n", "whole");
         else
-            asker.reset();
+            connection.reset();
     });
-    ready();
-    LONGS_EQUAL(200, comeBack("/once/1", 1)->head.status);
-    comeBack("/once/1", 8);
-    LONGS_EQUAL(200, comeBack("/once/1", 1)->head.status);
+    configureAndList();
+    LONGS_EQUAL(200, repeatCall("/once/1", 1)->head.status);
+    repeatCall("/once/1", 8);
+    LONGS_EQUAL(200, repeatCall("/once/1", 1)->head.status);
 }
--- a/test/RunLocationCacheTest.cpp
+++ b/test/RunLocationCacheTest.cpp
@@ -22,7 +22,7 @@
     }
 };
 
-TEST(RunLocationCache, KnowsTheNewestLocationOfAPrompt)
+TEST(RunLocationCache, FindsNewestLocationOfPrompt)
 {
     put("p", "r1", start);
     put("p", "r2", start);
@@ -30,14 +30,14 @@
     STRCMP_EQUAL("unknown", requestOf("q", start).c_str());
 }
 
-TEST(RunLocationCache, ForgetsWhatIsOlderThanAStreamCanLast)
+TEST(RunLocationCache, ExpiresEntriesAfterLifetime)
 {
     put("p", "r1", start);
     STRCMP_EQUAL("r1", requestOf("p", start + Milliseconds { 1000 }).c_str());
     STRCMP_EQUAL("unknown", requestOf("p", start + Milliseconds { 1001 }).c_str());
 }
 
-TEST(RunLocationCache, KeepsAPromptThatWasPutAgainForItsNewTime)
+TEST(RunLocationCache, RestartsLifetimeWhenPutAgain)
 {
     put("p", "r1", start);
     put("p", "r2", start + Milliseconds { 900 });
@@ -45,7 +45,7 @@
     STRCMP_EQUAL("r2", requestOf("p", start + Milliseconds { 1500 }).c_str());
 }
 
-TEST(RunLocationCache, GivesTheOldestUpWhenItIsFull)
+TEST(RunLocationCache, EvictsOldestWhenFull)
 {
     for (const auto* const promptId : { "p1", "p2", "p3", "p4" })
         put(promptId, "r", start);
@@ -53,7 +53,7 @@
     LONGS_EQUAL(3, cache.size());
 }
 
-TEST(RunLocationCache, KnowsNothingOfARunThatHasEnded)
+TEST(RunLocationCache, FindsNothingAfterRemoval)
 {
     put("p", "r1", start);
     cache.remove("p");
