--- a/src/relay/CrashGuard.h
+++ b/src/relay/CrashGuard.h
@@ -57,7 +57,7 @@
     CrashGuard(const CrashGuard&) = delete;
     CrashGuard& operator=(const CrashGuard&) = delete;
 
-    // Publishes losses to the other VMs. Must outlive the guard's use; null when there are no other VMs.
+    // Publishes losses to the other VMs. Must outlive the guard's use; null when losses are not shared.
     void setReports(CrashReports* reports) { m_reports = reports; }
 
     // True when a new attempt of the request may be served. After a quarantine, the admitted attempt is the trial.
--- a/src/relay/CrashWatch.cpp
+++ b/src/relay/CrashWatch.cpp
@@ -15,7 +15,7 @@
 
     void requestQuarantined() override
     {
-        // The callback may end the call, which destroys this listener.
+        // Copied: the callback may end the call, which clears the member while the callback runs.
         const auto onQuarantined = m_onQuarantined;
         if (onQuarantined)
             onQuarantined();
--- a/test/CrashingRequestTest.cpp
+++ b/test/CrashingRequestTest.cpp
@@ -193,13 +193,13 @@
     LONGS_EQUAL(200, caller->head.status);
 }
 
-// Guards against blaming a request for engines that were gone before it arrived. The proxy in front of the engines of a
-// lost zone still accepted connections, so that each stream lost four engines within milliseconds, and a request that
-// all callers sent was quarantined for 24 s, later for ten minutes: 178 to 189 of 286 to 430 calls were served where
-// nine tenths have to be. In all 28 losses, on six VMs, the engine had worked for 0 ms and the loss counted half. Most
-// came within 0.6 s after a restart of all VMs, which knew of no loss then, and the trial met another lost engine. A
-// stream's run begins with its prefill, which takes longer than any of these connections lasted. The store coming back
-// in between changed neither the records nor the quarantine times.
+// Guards against blaming a request for engines that were gone before it arrived. Whatever stands in front of the
+// engines of a lost zone still accepted connections, so that each stream lost four engines within milliseconds, and a
+// request that all callers sent was quarantined for 24 s, later for ten minutes: 178 to 189 of 286 to 430 calls were
+// served where nine tenths have to be. In all 28 losses, on six VMs, the engine had worked for 0 ms and the loss
+// counted half. Most came within 0.6 s after a restart of all VMs, which knew of no loss then, and the trial met
+// another lost engine. A stream's run begins with its prefill, which takes longer than any of these connections lasted.
+// The store coming back in between changed neither the records nor the quarantine times.
 TEST(CrashingRequest, IsNotAssumedWhenEnginesWereGoneBefore)
 {
     addInFourZones(8, [](ScriptedConnection& connection, const std::string&) { connection.close(); });
