--- a/src/relay/EndpointDirectory.cpp
+++ b/src/relay/EndpointDirectory.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 const std::vector<std::shared_ptr<RelayEndpoint>> noEndpoints;
-// An entry that has gone is remembered for as long as a copy of the list may be old that names it.
+// How long a removed entry is remembered: an older copy of the list may name it for as long.
 constexpr Milliseconds departureRemembered { 60'000 };
 
 } // namespace
@@ -34,7 +34,7 @@
     retireOtherAt(entry, now);
     if (known != m_endpointsById.end()) {
         const auto endpoint = known->second;
-        // One that does not say when it started is of the start that is known.
+        // An entry without a start time is taken to be of the known incarnation.
         entry.born = std::max(entry.born, endpoint->entry().born);
         if (endpoint->entry().isDraining != entry.isDraining || endpoint->isRemoved()) {
             ++m_counts.changed;
@@ -78,7 +78,7 @@
 
 void EndpointDirectory::takeReturned(EndpointEntry entry, Milliseconds now)
 {
-    // That it leaves is believed at once: it may still be a last resort.
+    // The announcement that it shuts down is taken over at once: the endpoint may still be in use as a last resort.
     if (entry.isDraining) {
         m_departures.at(entry.startName()).signals.noteLeaving();
         if (const auto known = find(entry.id))
@@ -110,7 +110,7 @@
     return true;
 }
 
-// A new incarnation at an address proves that the one before it is gone.
+// A new incarnation at an address proves that the previous one is gone.
 void EndpointDirectory::retireOtherAt(const EndpointEntry& entry, Milliseconds now)
 {
     if (m_isService && !m_isService(entry.service))
@@ -248,7 +248,7 @@
                                                               : std::exchange(m_doubt.returned, {});
     if (missing.empty() && returned.empty())
         return;
-    // The time as a last resort counts from the end of the doubt, not from when it is noticed.
+    // The grace time as a last resort starts when the list's time passed, not when this is noticed.
     for (const auto& id : missing)
         remove(id, m_missingStayUntil);
     for (const auto& entry : returned)
@@ -279,7 +279,7 @@
 
 void EndpointDirectory::forget(const std::shared_ptr<RelayEndpoint>& endpoint)
 {
-    // Its entry may only have lapsed: what it said of itself still holds when it is listed again.
+    // The entry may only have expired: what the endpoint announced still holds when it is listed again.
     if (const auto departure = m_departures.find(endpoint->entry().startName()); departure != m_departures.end())
         departure->second.signals.merge(endpoint->signals());
     const auto here = m_idsByAddress.find(endpoint->entry().address.text());
--- a/src/relay/EndpointEntry.h
+++ b/src/relay/EndpointEntry.h
@@ -1,4 +1,4 @@
-// What the list of endpoints says of one endpoint. An endpoint that starts again has a new id, or was born later.
+// One entry of the endpoint list. An endpoint that restarts has a new id or a later start time.
 #pragma once
 
 #include "http/SocketAddress.h"
@@ -13,14 +13,14 @@
     SocketAddress address;
     std::string availabilityZone;
     std::uint32_t slots { 1 };
-    // True when the endpoint leaves and takes no new work.
+    // True when the endpoint is shutting down and takes no new work.
     bool isDraining { false };
-    // Of its software; empty when unknown.
+    // Software version; empty when unknown.
     std::string version;
-    // The time of day of its start, in milliseconds; 0 when it does not say.
+    // Wall-clock start time in milliseconds; 0 when the entry does not state it.
     std::uint64_t born { 0 };
 
-    // Names this start of the endpoint.
+    // Identifies this incarnation of the endpoint.
     std::string startName() const { return born == 0 ? id : id + "@" + std::to_string(born); }
 };
 
--- a/src/relay/EngineChoice.cpp
+++ b/src/relay/EngineChoice.cpp
@@ -37,7 +37,8 @@
     return m_context.has(Policy::LocationHints) ? m_context.runLocations : nullptr;
 }
 
-// The caller has come back behind an event: another VM may have served it, and an engine has read its prompt.
+// A caller who reconnects with a last event id may have been served by another VM, and an engine may have its prompt
+// cached.
 bool EngineChoice::findEarlierRun(std::function<void()> callback)
 {
     if (!m_request.fields.lastEventId || m_request.fields.promptId.empty() || !runLocations())
@@ -142,10 +143,10 @@
 bool EngineChoice::survey(const Callback& callback)
 {
     const auto* service = m_context.configuration->findService(m_request.service);
-    // An engine that may have kept the prompt is better than any other.
+    // An engine that may have the prompt cached is better than any other.
     if (!m_context.has(Policy::LoadSurvey) || !service || !service->isEngine || m_request.fields.lastEventId)
         return false;
-    // A question may count as a request at an engine that takes only so many.
+    // A probe may count as a request at a rate-limited engine.
     auto sound = wantedPlacement();
     sound.mustBeSound = true;
     sound.limited = LimitedEndpoints::LeftOut;
@@ -208,7 +209,7 @@
 
 Milliseconds EngineChoice::patienceForPermit(bool isFromCopy) const
 {
-    // A copy saves the prompt from being read again, which takes longer than this pause.
+    // A copy saves the prefill of the prompt, which takes longer than this wait.
     if (isFromCopy)
         return m_request.route->longestPause / 2;
     const auto now = m_context.now();
--- a/src/relay/EngineChoice.h
+++ b/src/relay/EngineChoice.h
@@ -1,13 +1,13 @@
-// Finds the engine at which the next run of a stream begins.
+// Chooses the engine for the next run of a stream.
 //
-// Best is one that holds a copy of the lost run's memory, then one that has kept the prompt of a caller who came back,
-// then the one with the least load among a few that are asked.
+// An engine that holds a copy of the lost run's KV cache comes first, then, for a caller who reconnects, the engine
+// that has the prompt cached, then the least loaded of a few engines that are probed.
 //
 //     const auto choice = EngineChoice::make(context, request, rollout);
-//     if (const auto place = choice->placeOfCopy()) ...
+//     if (const auto location = choice->placeOfCopy()) ...
 //     choice->choose([this](const std::shared_ptr<RelayEndpoint>& engine) { ... });       // Null when there is none.
 //
-// Used on the relay's thread only. Owned by the stream's call; no callback follows once it is gone.
+// Used on the relay's thread only. Owned by the stream's call; no callback is called after its destruction.
 #pragma once
 
 #include "endpoint/EndpointOpening.h"
@@ -40,49 +40,50 @@
     using Engines = std::vector<std::shared_ptr<RelayEndpoint>>;
     using Callback = std::function<void(const std::shared_ptr<RelayEndpoint>&)>;
 
-    // The context, the request and the rollout part outlive it.
+    // The context, the request and the rollout part must outlive it.
     static std::shared_ptr<EngineChoice> make(RelayContext&, const RelayRequest&, RolloutPart&);
     ~EngineChoice();
 
-    // Where a caller has come back, asks other VMs where the request ran, and calls back once. False when there is
-    // nothing to ask.
+    // For a caller who reconnects, asks other VMs where the request ran, and calls back once. Returns false, without a
+    // callback, when there is nothing to ask.
     bool findEarlierRun(std::function<void()> callback);
     // Tells other VMs where the run is.
     void noteLocation(const StreamRun&) const;
     void forgetLocation() const;
 
-    // The engine that holds a copy, if it looks sound.
+    // The engine that holds the copy, if it is healthy.
     std::optional<RunPlace> placeOfCopy() const;
-    // The copy is named after the attempt whose memory it holds.
+    // The copy is named after the attempt whose KV cache it holds.
     void setCopy(std::shared_ptr<RelayEndpoint> holder, std::string name);
     void forgetCopy() { m_copyHolder.reset(); }
-    // The engine that ran the request for another VM and has kept its prompt, once; null if it does not look sound.
+    // The engine that ran the request for another VM and has its prompt cached; null if it is not healthy. Returned
+    // only once.
     std::shared_ptr<RelayEndpoint> takeEarlierEngine();
-    // Calls back once, perhaps before it returns.
+    // Calls back once, possibly before it returns.
     void choose(const Callback&);
     void cancel();
 
-    // Engines that failed this request; they are chosen only when no other is left.
+    // Engines that failed this request; chosen only when no other is left.
     const Engines& failed() const { return m_failed; }
     void noteFailed(std::shared_ptr<RelayEndpoint> engine) { m_failed.push_back(std::move(engine)); }
 
-    // Where a copy of a run at the engine may grow; null for nowhere.
+    // The engine that should receive a copy of a run at the given engine; null for none.
     std::shared_ptr<RelayEndpoint> copyHolderFor(const RelayEndpoint& engine) const;
-    // How long the stream can wait for its place at an engine under a limit.
+    // How long the stream can wait for a permit at a rate-limited engine.
     Milliseconds patienceForPermit(bool isFromCopy) const;
-    // When the first engine takes a request again where all are limited or rest; nothing otherwise.
+    // When the first engine accepts a request again if all are rate-limited or backing off; empty otherwise.
     std::optional<EndpointOpening> nextOpening() const;
 
 private:
     EngineChoice(RelayContext&, const RelayRequest&, RolloutPart&);
-    // Null where VMs tell each other nothing.
+    // Null where VMs do not share run locations.
     RunLocations* runLocations() const;
     void earlierRunFound(const std::optional<RunLocation>&);
-    // True when nothing speaks against sending the stream to the engine.
+    // True unless the engine is shutting down, avoided, backing off, out of permits or in a failing zone.
     bool isSound(const RelayEndpoint&) const;
-    // Where a run that reads the prompt should begin.
+    // The placement for a run that has to prefill the prompt.
     PlacementRequest wantedPlacement() const;
-    // Asks the engines that come into question for their load, if there is a choice.
+    // Probes the load of the candidate engines; returns false if there is no choice to make.
     bool survey(const Callback&);
     void surveyed(const Engines& answered, const Callback&);
     void logChoice(const RelayEndpoint&, std::size_t answered, Milliseconds forecast) const;
@@ -94,7 +95,7 @@
     std::shared_ptr<RelayEndpoint> m_earlierEngine;
     std::shared_ptr<RelayEndpoint> m_copyHolder;
     std::string m_copyName;
-    // Set while engines are asked where the next run should begin.
+    // Set while engines are probed for the next run.
     std::shared_ptr<EngineSurvey> m_survey;
 };
 
--- a/src/relay/EngineForecast.cpp
+++ b/src/relay/EngineForecast.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-// A prompt that an engine is reading is half read on average.
+// On average, half of a prompt in prefill is still to be processed.
 constexpr double unreadShare = 0.5;
-// Share of the time of reading a prompt that each run beside it loses: it goes on between the pieces, at a fifth of its
+// Share of the prefill time that each other run at the engine loses: it continues between the chunks at a fifth of its
 // pace or less.
 constexpr double slowedShare = 0.85;
-// Share of the engine's memory that is filled as planned; the rest covers answers that outgrow their hint and prompts
-// that other VMs send at the same instant.
+// Share of the engine's memory that may be planned for; the rest covers answers that exceed their stated maximum and
+// prompts that other VMs send at the same time.
 constexpr double plannedMemoryShare = 0.95;
-// An engine without room makes the request wait until runs end, or preempts another one.
+// An engine without room makes the request wait until runs end, or preempts another run.
 constexpr Milliseconds noRoomDelay { 20000 };
-// No report can make an engine look worse than this: it may be wrong.
+// A report may be wrong, so that no report raises an engine's delay above this.
 constexpr Milliseconds longestDelay { 60000 };
 
 bool hasRoom(const EngineWork& work, const EngineReport& report)
@@ -44,7 +44,7 @@
 {
     const auto ownRead = tokensOf(work, pace) * pace.readTimePerToken;
     const auto usualRead = pace.usualPromptTokens * pace.readTimePerToken;
-    // A prompt of this VM that the report does not know of was sent just now.
+    // A prompt of this VM that the report lacks was sent after the report.
     const auto reported = report.promptsBeingRead + report.promptsWaiting;
     const double unreported = ownPromptsBeingRead > reported ? ownPromptsBeingRead - reported : 0;
     const auto wait = (unreadShare * report.promptsBeingRead + report.promptsWaiting + unreported) * usualRead;
--- a/src/relay/EngineReport.h
+++ b/src/relay/EngineReport.h
@@ -1,5 +1,5 @@
-// What an engine says of its load, in words of the relay. It is some hundred milliseconds old when it comes, and may be
-// wrong: decoding bounds each figure, and a report changes nothing but the choice among engines.
+// The load that an engine reports, independent of the engine's protocol. A report is some hundred milliseconds old when
+// it arrives and may be wrong: decoding bounds each figure, and a report affects only the choice among engines.
 #pragma once
 
 #include <cstdint>
@@ -7,12 +7,12 @@
 namespace lupinknot::internal {
 
 struct EngineReport {
-    // Prompts that the engine reads now, and prompts that wait to be read.
+    // Prompts in prefill, and prompts that wait for prefill.
     std::uint32_t promptsBeingRead { 0 };
     std::uint32_t promptsWaiting { 0 };
-    // Runs that produce events.
+    // Runs that generate events.
     std::uint32_t generating { 0 };
-    // Tokens of memory that cannot give way, and of memory in all; 0 when the engine does not say.
+    // Tokens of memory that cannot be evicted, and of memory in total; 0 when the engine does not report them.
     std::uint64_t memoryUsed { 0 };
     std::uint64_t memoryTotal { 0 };
 };
--- a/src/relay/EngineSurvey.cpp
+++ b/src/relay/EngineSurvey.cpp
@@ -65,7 +65,7 @@
         end();
         return;
     }
-    // Those that are still to answer get as long again as this one took.
+    // The remaining engines get as much time again as this one took.
     m_timer.expires_after(
         std::min(std::max(now - m_startedAt, m_context.settings.surveyShortestWait), m_context.settings.surveyTimeout));
     awaitRest();
--- a/src/relay/EngineSurvey.h
+++ b/src/relay/EngineSurvey.h
@@ -1,10 +1,11 @@
-// Asks some engines for their load before one of them is chosen.
+// Probes the load of some engines before one of them is chosen.
 //
 //     m_survey = EngineSurvey::start(context, engines, [this] { choose(); });
 //
-// What they answer is kept with the endpoints. The survey ends when all have answered; an engine that takes much longer
-// than the others is not waited for. An engine that does not answer is not the one to send a prompt to.
-// Used on the relay's thread only. Owned by the request; no callback follows once it is gone.
+// The reports are stored with the endpoints. The probe ends when all engines have answered, or when the remaining ones
+// take much longer than the others. An engine that does not answer should not be sent a prompt.
+//
+// Used on the relay's thread only. Owned by the request; no callback is called after its destruction.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -24,7 +25,7 @@
 class EngineSurvey : public std::enable_shared_from_this<EngineSurvey> {
 public:
     using Engines = std::vector<std::shared_ptr<RelayEndpoint>>;
-    // Called once, at the end, with the engines that have answered with a report that could be read.
+    // Called once, at the end, with the engines that answered with a valid report.
     using Callback = std::function<void(const Engines& answered)>;
 
     static std::shared_ptr<EngineSurvey> start(RelayContext&, const Engines&, Callback);
--- a/src/relay/Estimate.h
+++ b/src/relay/Estimate.h
@@ -1,11 +1,12 @@
-// What this VM has seen of a quantity lately, as quantiles of its newest samples.
+// Quantiles of the newest samples of a quantity that this VM observes.
 //
-//     Estimate callTime(75);                  // The stated value, which holds until enough has been seen.
+//     Estimate callTime(75);                  // The default value, used until there are enough samples.
 //     callTime.add(31, now);
 //     callTime.quantile(0.95);
 //
-// A quantile of a few samples is no better than the stated value, which is given instead until there are enough of
-// them. Used on the relay's thread only.
+// Until there are enough samples, the default value is returned: a quantile of a few samples is no better.
+//
+// Used on the relay's thread only.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -21,19 +22,19 @@
     {
     }
 
-    // Takes a sample; one that is no finite number above zero is passed over.
+    // Adds a sample; ignores one that is not finite or not above zero.
     void add(double sample, Milliseconds now);
-    // The value below which this share of the newest samples lies; the stated one before there are enough of them.
+    // The value below which this share of the newest samples lies; the default value until there are enough samples.
     double quantile(double share) const;
     std::size_t sampleCount() const { return m_count; }
-    // Whether enough has been seen.
+    // True once there are enough samples.
     bool isKnown() const { return m_count >= fewestSamples; }
-    // When the newest sample came; 0 when none has.
+    // When the newest sample was added; 0 when there is none.
     Milliseconds newestAt() const { return m_newestAt; }
 
-    // Fewer samples than these are not relied on.
+    // Samples needed before the default value is replaced.
     static constexpr std::size_t fewestSamples = 10;
-    // What is older than so many samples is forgotten.
+    // Samples kept; older ones are overwritten.
     static constexpr std::size_t mostSamples = 64;
 
 private:
--- a/src/relay/KeeperChoice.h
+++ b/src/relay/KeeperChoice.h
@@ -1,9 +1,11 @@
-// Says which VMs keep what is told of a prompt: a VM that has to find it works the same ones out from the prompt alone.
+// Chooses the VMs that store the run location of a prompt. A VM that looks it up computes the same VMs from the prompt
+// alone.
 //
-//     const auto keepers = chooseKeepers("91bd3f06", names);     // Numbers of the names, best first.
+//     const auto keepers = chooseKeepers("91bd3f06", names);     // Indices into the names, best first.
+//
+// Uses rendezvous hashing among a few VMs of the fleet, so that a VM talks to few others however large the fleet is.
+// VMs with different lists agree on most prompts; the location is only a hint, and nothing depends on it.
 //
-// Rendezvous hashing among a few VMs of the fleet, so that a VM talks to few others however many there are. VMs that
-// know different lists agree on most prompts; the choice is a hint and nothing depends on it.
 // A pure function of its arguments; thread-safe.
 #pragma once
 
@@ -13,9 +15,9 @@
 
 namespace lupinknot::internal {
 
-// Each location is kept by so many VMs: one may die together with the VM that runs the request, one be cut off.
+// VMs that store each location: one may fail together with the VM that runs the request, and one may be unreachable.
 inline constexpr std::size_t keepersOfALocation = 3;
-// Only so many VMs of a fleet keep locations.
+// VMs of a fleet that store locations at all.
 inline constexpr std::size_t mostKeepers = 12;
 
 std::vector<std::size_t> chooseKeepers(const std::string& promptId, const std::vector<std::string>& vmNames);
--- a/src/relay/Placement.cpp
+++ b/src/relay/Placement.cpp
@@ -9,32 +9,32 @@
 
 namespace {
 
-// Costs, in calls under way. A call to another zone costs bytes between zones; docs/ROUTING.md has the trials.
+// Costs, in calls in flight. A call to another zone causes traffic between zones; see docs/ROUTING.md.
 constexpr double otherZoneCost = 0.6;
 constexpr double randomCost = 0.3;
-// Costs of an engine that has reported its load, in times of reading the prompt: what another zone has to gain, and by
-// how much VMs differ that read the same reports, so that they do not all choose the same engine.
+// Costs of an engine that has reported its load, in prefill times of the prompt: the surcharge for another zone, and
+// the random spread between VMs that read the same reports, so that they do not all choose the same engine.
 constexpr double otherZoneReads = 0.3;
 constexpr double randomReads = 0.3;
-// A limited endpoint gets work once the others have so many calls more, the more of them there are: it is in need. One
-// whose limit has not been heard for a while gets as much as the others, within its limit, because only its answers
-// tell that the limit has ended.
+// A rate-limited endpoint is overloaded, so that it gets work only when the other endpoints have this many more calls,
+// scaled by their share of all. When its limit has not been confirmed for a while, it is treated like the others,
+// within its limit, because only its answers show that the limit has ended.
 constexpr double limitedCost = 2;
 constexpr Milliseconds limitBelievedFor { 2000 };
-// An endpoint that failed lately is worse than any load, one in a failing zone too, and a leaving one is the last
+// A recently failed endpoint is worse than any load, as is one in a failing zone; one that is shutting down is the last
 // resort.
 constexpr double failingZoneCost = 1000;
 constexpr double avoidedCost = 3000;
 constexpr double zoneToLeaveCost = 10000;
 constexpr double leavingCost = 100000;
 
-// Whether an endpoint comes into question with the limit that it may have.
+// True unless the endpoint's rate limit excludes it.
 bool isOpen(const RelayEndpoint& endpoint, LimitedEndpoints wanted, Milliseconds now)
 {
     return !endpoint.isLimited() || (wanted == LimitedEndpoints::Admitted && now >= endpoint.noPermitUntil());
 }
 
-// True while the endpoint is believed to be better off with less work.
+// True while the endpoint is believed to benefit from less work.
 bool isInNeed(const RelayEndpoint& endpoint, Milliseconds now)
 {
     return endpoint.isLimited() && now - endpoint.limit().heardAt() < limitBelievedFor;
@@ -68,7 +68,7 @@
             found.push_back({ sum, endpoint });
     }
     auto best = cheapest(found, count);
-    // Limits only make endpoints dearer or leave them out: without one among the best the others do not matter.
+    // Limits only raise costs or exclude endpoints: without a limited endpoint among the best, they do not matter.
     if (std::any_of(best.begin(), best.end(), [](const auto& endpoint) { return endpoint->isLimited(); })) {
         applyLimits(found, request.limited, now);
         best = cheapest(found, count);
@@ -76,7 +76,7 @@
     return best;
 }
 
-// Takes out endpoints that are not open and makes those dearer that are better off with less work.
+// Removes the candidates that their limit excludes, and adds a surcharge to those that benefit from less work.
 void Placement::applyLimits(std::vector<Candidate>& found, LimitedEndpoints wanted, Milliseconds now)
 {
     if (wanted == LimitedEndpoints::NotSent)
@@ -121,7 +121,7 @@
         if (endpoint->isLeaving() || !isInQuestion(*endpoint, request))
             continue;
         const bool isResting = endpoint->isResting(now);
-        // One that is only full or out of reach may have a place sooner.
+        // An endpoint that is only full or unreachable may accept a request sooner.
         if (!isResting && !endpoint->isLimited())
             return std::nullopt;
         const auto at = std::max({ endpoint->noPermitUntil(), endpoint->signals().restsUntil(), now });
@@ -138,7 +138,7 @@
     double lowest = 0;
     const auto unit = static_cast<double>(readTime(work, pace).count());
     for (const auto& engine : engines) {
-        // It may have begun to leave while it was asked.
+        // The engine may have started to shut down while it was probed.
         if (!engine->mayTakeWork(now, m_settings.leavingEndpointGrace))
             continue;
         auto delay = static_cast<double>(forecastDelay(work, *engine, pace).count()) + randomReads * unit * random();
--- a/src/relay/Placement.h
+++ b/src/relay/Placement.h
@@ -1,11 +1,11 @@
 // Chooses the endpoint of a new attempt.
 //
-// An endpoint's cost is what this VM has under way there, more when it lies in another availability zone, and much more
-// when it is avoided or leaving. The cheapest one is taken; ties are broken at random, so that the VMs, which know
-// nothing of each other's choices, spread over equals.
+// The cost of an endpoint is the number of calls that this VM has in flight there, plus a surcharge for another
+// availability zone, and a much larger one if the endpoint is avoided or shutting down. The cheapest endpoint is
+// chosen; ties are broken at random, so that VMs, which do not know each other's choices, spread over equal endpoints.
 //
-// Requests for one prompt prefer one endpoint, found by rendezvous hashing: a caller who comes back to another VM meets
-// the engine that has read its prompt.
+// Requests with the same prompt prefer the same endpoint, found by rendezvous hashing: a caller who reconnects through
+// another VM reaches the engine that has the prompt cached.
 #pragma once
 
 #include "endpoint/EndpointOpening.h"
@@ -24,26 +24,26 @@
 class RelayEndpoint;
 struct RelaySettings;
 
-// What becomes of endpoints that take only so many requests a second.
+// How rate-limited endpoints are treated.
 enum class LimitedEndpoints {
-    Admitted, // As endpoints of that size; those for which no permit is to be had now are left out.
-    LeftOut, // For what need not be sent at all.
-    NotSent, // As any other: nothing is sent there.
+    Admitted, // Used with a surcharge; those without an available permit are left out.
+    LeftOut, // Left out, for requests that are optional.
+    NotSent, // Used like any other endpoint: nothing is sent there.
 };
 
 struct PlacementRequest {
     std::string service;
-    // Endpoints that this request has tried or uses already.
+    // Endpoints that this request has tried or is using.
     std::vector<std::shared_ptr<RelayEndpoint>> excluded;
-    // Zones in which a second loss would hit; endpoints there come last.
+    // Zones whose failure would hit the request again; endpoints there come last.
     std::vector<std::string> zonesToLeave;
-    // Names the prompt; requests with the same one prefer the same endpoint of a zone, whichever VM they come in at.
+    // Identifies the prompt; requests with the same id prefer the same endpoint of a zone, on every VM.
     std::string promptId;
-    // How much the preferred endpoint may be busier than others, in calls.
+    // How many more calls than others the preferred endpoint may have in flight.
     double preference { 0 };
-    // Which runners come into question, by their version.
+    // The versions of endpoints that may be chosen.
     VersionChoice version;
-    // True for the place of a copy: an endpoint that is avoided or leaving is no place for it.
+    // True for the target of a copy: an endpoint that is avoided or shutting down is not suitable.
     bool mustBeSound { false };
     LimitedEndpoints limited { LimitedEndpoints::Admitted };
 };
@@ -54,31 +54,31 @@
     Placement(const EndpointDirectory&, const RelaySettings&, std::uint64_t seed);
     // Null when no endpoint can take the request.
     std::shared_ptr<RelayEndpoint> choose(const PlacementRequest&, Milliseconds now);
-    // The endpoints that come first into question, best first: as many as are wanted, or fewer.
+    // The best endpoints for the request, best first: up to the given count.
     std::vector<std::shared_ptr<RelayEndpoint>> candidates(
         const PlacementRequest&, std::size_t count, Milliseconds now);
-    // When the first endpoint takes a request again if all in question rest or are limited; nothing when one takes what
-    // it gets, or when there is none.
+    // When the first endpoint accepts a request again if all candidates are backing off or rate-limited; empty when an
+    // endpoint is neither, or when there is no candidate.
     std::optional<EndpointOpening> nextOpening(const PlacementRequest&, Milliseconds now) const;
-    // The best of some engines that have reported their load, by forecast; null when none may take work any more.
+    // The best of some engines that have reported their load, by forecast; null when none accepts work any more.
     std::shared_ptr<RelayEndpoint> chooseReported(
         const std::vector<std::shared_ptr<RelayEndpoint>>&, const EngineWork&, const EnginePace&, Milliseconds now);
 
 private:
     struct Candidate {
-        // In calls under way.
+        // In calls in flight.
         double cost;
         std::shared_ptr<RelayEndpoint> endpoint;
     };
 
     static void applyLimits(std::vector<Candidate>&, LimitedEndpoints, Milliseconds now);
-    // The first so many by cost; the candidates are put in order as far as that.
+    // The cheapest endpoints up to the given count; sorts the candidates that far.
     static std::vector<std::shared_ptr<RelayEndpoint>> cheapest(std::vector<Candidate>&, std::size_t count);
-    // The preferred endpoint among the sound ones of the zone, or null.
+    // The preferred endpoint among the healthy ones of this VM's zone, or null.
     const RelayEndpoint* preferred(const PlacementRequest&, Milliseconds now) const;
-    // True unless the request rules the endpoint out, whatever the endpoint says.
+    // True unless the request excludes the endpoint, regardless of the endpoint's state.
     static bool isInQuestion(const RelayEndpoint&, const PlacementRequest&);
-    // True when the request may be sent to the endpoint, if a permit can be had for it.
+    // True when the request may be sent to the endpoint, provided that a permit is available.
     bool isEligible(const RelayEndpoint&, const PlacementRequest&, Milliseconds now) const;
     double cost(const RelayEndpoint&, const PlacementRequest&, Milliseconds now);
     double random() { return m_uniform(m_random); }
--- a/src/relay/Policy.h
+++ b/src/relay/Policy.h
@@ -1,10 +1,10 @@
-// The mechanisms by which the relay decides, by name, so that each can be switched off to see what it is worth.
+// The mechanisms by which the relay makes decisions, by name, so that each can be switched off to measure its effect.
 //
 //     PolicySet policies;                             // All of them.
 //     policies.switchOff(Policy::LoadSurvey);
 //     if (policies.has(Policy::LoadSurvey)) ...
 //
-// Switching one off breaks no promise to callers: it costs time or work. Values; thread-safe as such.
+// Switching one off breaks no guarantee to callers: it only costs time or work. Plain values without synchronization.
 #pragma once
 
 #include "lupinknot/EnumNames.h"
@@ -14,18 +14,18 @@
 namespace lupinknot::internal {
 
 enum class Policy {
-    GrowingCopies, // A second engine receives a copy of a run's memory while it grows.
-    MovesAhead, // A run whose copy is lost moves to an engine where it gets one again.
-    PromptPreference, // Requests for one prompt prefer one engine.
-    SecondSendings, // A slow idempotent call is also sent to a second endpoint.
-    ZoneAvoidance, // A zone whose endpoints fail together is avoided, and its endpoints doubted.
-    LivenessQuestions, // An engine that sends nothing is asked whether it lives.
-    LoadSurvey, // Engines are asked for their load before a prompt is sent to one.
-    LearnedPace, // Waits follow what this VM has seen of a service.
-    TimeCheck, // A stream that cannot end in the time that is left is refused at once.
-    LocationHints, // VMs tell each other where runs are.
-    CrashQuarantine, // A request is held back once endpoint after endpoint has ended under it.
-    Waiting, // Requests wait for what a VM is about to learn, and calls for a place at an endpoint.
+    GrowingCopies, // A second engine receives a copy of a run's KV cache while the run generates.
+    MovesAhead, // A run whose copy is lost moves to an engine where it is copied again.
+    PromptPreference, // Requests with the same prompt prefer the same engine.
+    SecondSendings, // A slow idempotent call is hedged: it is also sent to a second endpoint.
+    ZoneAvoidance, // A zone whose endpoints fail together is avoided, and its endpoints are suspected.
+    LivenessQuestions, // An engine that sends nothing is probed for liveness.
+    LoadSurvey, // Engines are probed for their load before a prompt is sent to one.
+    LearnedPace, // Timeouts adapt to the speed that this VM observes of a service.
+    TimeCheck, // A stream that cannot end before its deadline is refused at once.
+    LocationHints, // VMs share the locations of runs.
+    CrashQuarantine, // A request is held back after several endpoints have crashed in a row while running it.
+    Waiting, // Requests wait for pending updates of this VM's state, and calls for capacity of an endpoint.
 };
 
 inline constexpr std::array<EnumName<Policy>, 12> policyNames { {
--- a/src/relay/ReadingMark.h
+++ b/src/relay/ReadingMark.h
@@ -1,4 +1,5 @@
-// Says that an endpoint reads a prompt for this VM, as long as the mark lives. Used on the relay's thread only.
+// Counts a prompt of this VM as being in prefill at an endpoint, for the lifetime of the object. Used on the relay's
+// thread only.
 #pragma once
 
 #include "relay/RelayEndpoint.h"
--- a/src/relay/RelayEndpoint.cpp
+++ b/src/relay/RelayEndpoint.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The log's numbers are whole ones.
+// Log events have integer numbers only.
 std::string decimalText(double number)
 {
     char text[32];
--- a/src/relay/RelayEndpoint.h
+++ b/src/relay/RelayEndpoint.h
@@ -1,6 +1,6 @@
-// One endpoint as this VM knows it: its entry, what this VM has under way there, and what its answers have shown.
+// One endpoint as this VM knows it: its entry, this VM's calls in flight there, and what its answers have shown.
 //
-// Lives from its first entry until its last call, in the process. Used on the relay's thread only.
+// Lives from its first entry until its last call in this process has ended. Used on the relay's thread only.
 #pragma once
 
 #include "endpoint/EndpointSignals.h"
@@ -26,13 +26,14 @@
     RelayEndpoint& operator=(const RelayEndpoint&) = delete;
 
     const EndpointEntry& entry() const { return m_entry; }
-    // Takes over a new entry of the same incarnation, which is listed from here on.
+    // Applies a new entry of the same incarnation; the endpoint is listed from then on.
     void updateEntry(EndpointEntry, Milliseconds now);
 
-    // A kept connection that has rested no longer than allowed, the one used last, or a new one.
+    // The most recently used idle connection that has not been idle for too long, or a new connection. The limit is
+    // maxRest or, if shorter, the idle timeout that the endpoint announced less the margin.
     std::shared_ptr<ClientConnection> takeConnection(Milliseconds now, Milliseconds maxRest, Milliseconds margin);
     std::shared_ptr<ClientConnection> openConnection();
-    // Keeps a connection if it can carry another request.
+    // Keeps the connection if it can carry another request, and closes it otherwise.
     void giveBack(const std::shared_ptr<ClientConnection>&, Milliseconds now);
     void closeKeptConnections();
 
@@ -40,50 +41,50 @@
     void callStarted() { ++m_inFlight; }
     void callEnded() { --m_inFlight; }
 
-    // Prompts that it reads for this VM; see ReadingMark.
+    // Prompts of this VM that the endpoint is prefilling; see ReadingMark.
     unsigned promptsBeingRead() const { return m_promptsBeingRead; }
     void readingStarted() { ++m_promptsBeingRead; }
     void readingEnded() { --m_promptsBeingRead; }
-    // What it said of its load last, and when; nothing when it was never asked.
+    // The last load report and its time; null when the endpoint has never been probed.
     void noteReport(const EngineReport& report, Milliseconds now) { m_report = TimedReport { report, now }; }
     const EngineReport* report() const { return m_report ? &m_report->report : nullptr; }
 
-    // Takes over what an answer that came now says of rest and of leaving.
+    // Applies what a new answer says about backing off and shutting down.
     void noteSignals(const AnswerFields&, Milliseconds now);
     const EndpointSignals& signals() const { return m_signals; }
-    // Takes over what was known of this start before it was forgotten.
+    // Applies the signals that were known of this incarnation before it was dropped.
     void restoreSignals(const EndpointSignals&, Milliseconds now);
     bool isResting(Milliseconds now) const { return m_signals.isResting(now); }
 
     const HeardLimit& limit() const { return m_limit; }
-    // Takes over what an answer says of the endpoint's limit that came now to a request sent at the instant. Returns
-    // whether that is news for other VMs.
+    // Applies a new answer's statement about the endpoint's rate limit; sentAt is when its request was sent. Returns
+    // true if other VMs should be told.
     bool noteLimit(const AnsweredLimit&, Milliseconds sentAt, Milliseconds now);
-    // Takes over what another VM has heard of it.
+    // Applies what another VM reports of the rate limit.
     void noteLimitNews(const LimitNews&, Milliseconds now);
     LimitNews limitNews(Milliseconds now) const { return { m_limit.perSecond(), now - m_limit.heardAt() }; }
     bool isLimited() const { return m_limit.perSecond().has_value(); }
-    // While it is limited, no permit for it is to be had until the instant.
+    // While the endpoint is rate-limited, no permit is available for it before this time.
     void denyPermitsUntil(Milliseconds instant) { m_noPermitUntil = instant; }
     Milliseconds noPermitUntil() const { return isLimited() ? m_noPermitUntil : Milliseconds { 0 }; }
 
-    // An endpoint leaves when it says so, in its entry or in an answer, or when its entry is gone.
+    // True if its entry or an answer says that it shuts down, or if its entry was removed.
     bool isLeaving() const { return m_leavingSince.has_value(); }
-    // False for one that says that it leaves or rests. One whose entry has gone gets work as a last resort, for a short
-    // while only.
+    // False for an endpoint that says that it shuts down or backs off. An endpoint whose entry was removed may take
+    // work as a last resort, for the grace time only.
     bool mayTakeWork(Milliseconds now, Milliseconds grace) const;
-    // True for one whose entry has gone and that takes no work any more.
+    // True for an endpoint whose entry was removed and that takes no more work.
     bool isExpired(Milliseconds now, Milliseconds grace) const;
     bool isRemoved() const { return m_isRemoved; }
     void setRemoved(Milliseconds now);
-    // It has said that it leaves; whether it is listed stays as it is.
+    // The endpoint has announced that it shuts down; whether it is listed does not change.
     void setDraining(Milliseconds now);
 
     void avoidUntil(Milliseconds instant) { m_avoidUntil = std::max(m_avoidUntil, instant); }
     bool isAvoided(Milliseconds now) const { return now < m_avoidUntil; }
-    // An answer or event came: the endpoint lives.
+    // An answer or event has arrived: the endpoint is alive.
     void noteLife(Milliseconds now);
-    // The last instant at which it was known to live: when it was first listed, or later.
+    // When the endpoint was last known to be alive: when it was first listed, or later.
     Milliseconds lastLife() const { return m_lastLife; }
 
 private:
@@ -109,7 +110,7 @@
     EndpointSignals m_signals;
     HeardLimit m_limit;
     Milliseconds m_noPermitUntil { 0 };
-    // Values that cannot be read are logged once each.
+    // Unreadable values are logged only once each.
     bool m_isUnreadableLimitSaid { false };
     bool m_isUnreadableRestSaid { false };
     std::optional<Milliseconds> m_leavingSince;
--- a/src/relay/RetryBudget.cpp
+++ b/src/relay/RetryBudget.cpp
@@ -37,7 +37,7 @@
     return true;
 }
 
-// The oldest is the one to go: those that have arrived count for as long as any of them.
+// Removes the oldest retry, so that the ones that reached an endpoint count for as long as any of them would.
 void RetryBudget::giveBack()
 {
     if (!m_retries.empty())
--- a/src/relay/RetryBudget.h
+++ b/src/relay/RetryBudget.h
@@ -1,20 +1,21 @@
-// Limits retries so that all VMs together keep to the deployment's budget without asking each other.
+// Limits retries so that all VMs together stay within the deployment's retry budget without coordination.
 //
-// Load pattern: engines of a zone go together every few seconds, those of the next one within the same window, and
-// engines that are full or have started again under another name turn away what is sent on to them. Each VM loses a few
-// runs at once and sends each of them several times.
+// The load for which it is designed: every few seconds the engines of a zone fail together, those of the next zone
+// within the same window, and engines that are full or have restarted under another name reject the runs that are sent
+// on to them. Each VM then loses a few runs at once and sends each of them several times.
 //
-// Each VM spends at most its part: a ratio of the requests it took in the last window, plus its share of the fixed
-// number. A request does not count towards its own retries: a VM with few requests asks for retries just when it has
-// one more than usual, and in a fleet of hundreds that adds up to several hundred retries. Parts are a few retries only
-// where VMs are many, so a fraction of one counts: each VM rounds up or down by a hash of its name, and the sum over
-// VMs is that of the parts. What saves an answer under way may spend the whole part; what is only a precaution, or
-// follows from a full service, which strikes all VMs alike, leaves some for that.
+// Each VM spends at most its part: a ratio of the requests that it took in the last window, plus its share of a fixed
+// number. A request does not count towards its own retries: a VM with few requests needs retries just when it has one
+// request more than usual, and in a fleet of hundreds that adds up to several hundred retries. In a large fleet a part
+// is only a few retries, so that fractions matter: each VM rounds up or down by a hash of its name, so that the sum
+// over VMs is the sum of the parts. Retries that save an answer in progress may spend the whole part. Retries that are
+// only a precaution, or that follow from a full service, which affects all VMs at once, leave some of it for those.
 //
-// A VM that has just started takes no share of the fixed number for a while, and a smaller one of what it earns
-// (RelaySettings::retrySlackFrom): it does not know what it has spent before, nor whether others count it already.
+// A VM that has just started takes no share of the fixed number for a while, and a smaller share of what its requests
+// earn (RelaySettings::retrySlackFrom): it knows neither what its previous process has spent nor whether other VMs
+// count it already.
 //
-// One budget for each service. Used on the relay's thread only.
+// One budget per service. Used on the relay's thread only.
 #pragma once
 
 #include "admission/RetryPurpose.h"
@@ -27,23 +28,23 @@
 
 class RetryBudget {
 public:
-    // The settings outlive the budget.
+    // The settings must outlive the budget.
     explicit RetryBudget(const RelaySettings&);
     RetryBudget(const RetryBudget&) = delete;
     RetryBudget& operator=(const RetryBudget&) = delete;
     void noteRequest(Milliseconds now);
-    // Takes one retry out of the budget for the request that was noted at the instant; false when there is none left.
+    // Takes one retry for the request that was noted at requestedAt; false when the budget is spent.
     bool take(RetryPurpose, Milliseconds requestedAt, Milliseconds now);
-    // Returns a retry that was taken and has not reached an endpoint: only what arrives counts.
+    // Returns a retry that was taken but did not reach an endpoint: only those that arrive count.
     void giveBack();
 
 private:
-    // Retries that this VM may send within the window, with the fraction of one.
+    // Retries that this VM may send within the window, including a fraction.
     double part(Milliseconds requestedAt, Milliseconds now) const;
     void forgetOld(Milliseconds now);
 
     const RelaySettings& m_settings;
-    // From 0 to 1; a fraction of a retry that is greater than the rest to 1 counts as a whole one.
+    // From 0 to 1. A fraction of a retry counts as a whole one if it and this value add up to at least 1.
     const double m_rounding;
     std::deque<Milliseconds> m_requests;
     std::deque<Milliseconds> m_retries;
--- a/src/relay/ServicePace.h
+++ b/src/relay/ServicePace.h
@@ -1,7 +1,8 @@
-// How fast a service is, as this VM sees it: what decisions that depend on speed are taken from.
+// The speed of a service as this VM observes it, for decisions that depend on it.
+//
+// Each figure has a default value that is used until there are enough samples (Estimate). Figures are per service, not
+// per endpoint: a VM sends each endpoint a request every few seconds, too few to distinguish it from the others.
 //
-// Each figure has a stated value for the time before anything has been seen (Estimate). Figures hold for a service, not
-// for single endpoints: a VM sends each endpoint a request every few seconds, too few to tell it from the others.
 // Used on the relay's thread only. Lives for the process.
 #pragma once
 
@@ -11,33 +12,33 @@
 namespace lupinknot::internal {
 
 struct ServicePace {
-    // Milliseconds from sending a call to its whole answer, first attempts of plain calls only. Stated: the time after
-    // which a second sending paid on the first customers' services, whose calls take 15 to 30 ms of work.
+    // Milliseconds from sending a call to its complete answer, for first attempts of plain calls only. Default: the
+    // delay at which hedging paid off on the first customers' services, whose calls take 15 to 30 ms of work.
     Estimate callTime { 75 };
-    // Milliseconds that a token of a prompt takes to be read, from sending a request to its first event. Stated: that
-    // of an engine that reads 5 tokens a millisecond and nothing else.
+    // Milliseconds per prompt token, from sending a request to its first event. Default: that of an engine that
+    // prefills 5 tokens per millisecond and nothing else.
     Estimate readTimePerToken { 0.2 };
-    // Milliseconds between two events of a run, on average over the run. Stated: the first customers' engines, alone.
+    // Milliseconds between two events of a run, averaged over the run. Default: that of the first customers' engines
+    // with a single run.
     Estimate eventInterval { 31 };
-    // Events of whole answers, as share of the most that the request allowed. Stated: half of it.
+    // Events of complete answers, as a share of the most that the request allowed. Default: half of it.
     Estimate answerShare { 0.5 };
-    // Tokens of prompts. Stated: the first customers'.
+    // Tokens of prompts. Default: those of the first customers.
     Estimate promptTokens { 5000 };
 
-    // Milliseconds from a stream's head to its first event. Stated: they come together.
+    // Milliseconds from a stream's response header to its first event. Default: they arrive together.
     Estimate headLead { 1 };
-    // A head has come without an event: an engine that has sent none has not begun.
+    // True once a response header has arrived before any event: an engine that has sent no header has not started.
     bool showsBeginnings { false };
 
-    // What to forecast engines by: the prompt that is in the middle, and the pace of those that had an engine to
-    // themselves.
+    // The input of engine forecasts: the median prompt, and the pace of requests that had an engine to themselves.
     EnginePace engine() const
     {
         return { readTimePerToken.quantile(undisturbedShare), promptTokens.quantile(middleShare) };
     }
 
-    // Silence of a run after which its engine is asked whether it lives. While an engine reads a prompt, its other runs
-    // make an event in five times their own time. The setting holds until the pace is known.
+    // How long a run may be silent before its engine is probed for liveness. While an engine prefills a prompt, its
+    // other runs take five times as long per event. The setting applies until the pace is known.
     Milliseconds silenceBeforeQuestion(Milliseconds setting) const
     {
         if (!eventInterval.isKnown())
@@ -45,25 +46,25 @@
         return milliseconds(intervalsOfSilence * eventInterval.quantile(undisturbedShare));
     }
 
-    // The same before a run's first event, while its prompt is read or waits for others.
+    // The same before a run's first event, while its prompt is prefilled or queued.
     Milliseconds silenceBeforeFirstEvent(double tokens) const
     {
         return milliseconds(patienceShare * readTimePerToken.quantile(mostShare) * tokens);
     }
 
-    // What a stream's first event takes in the middle, with a prompt of so many tokens.
+    // The median time to a stream's first event for a prompt of so many tokens.
     Milliseconds usualFirstEvent(double tokens) const
     {
         return milliseconds(readTimePerToken.quantile(middleShare) * tokens);
     }
 
-    // Time after which an unanswered call is also sent to a second endpoint.
+    // Time after which an unanswered call is hedged.
     Milliseconds hedgeDelay() const { return milliseconds(callTime.quantile(hedgedShare)); }
 
-    // True where heads come when a request is taken, long before the engine begins it.
+    // True if the service sends headers when it accepts a request, long before the engine starts it.
     bool sendsHeadsEarly() const { return headLead.quantile(middleShare) > longestLead; }
 
-    // What a call takes in the middle.
+    // The median time of a call.
     Milliseconds usualCallTime() const { return milliseconds(callTime.quantile(middleShare)); }
 
 private:
@@ -73,7 +74,7 @@
     static constexpr double intervalsOfSilence = 5.5;
     static constexpr double patienceShare = 1.5;
     static constexpr double mostShare = 0.75;
-    // One call in twenty is sent twice.
+    // One call in twenty is hedged.
     static constexpr double hedgedShare = 0.95;
     static constexpr double undisturbedShare = 0.1;
     static constexpr double middleShare = 0.5;
--- a/src/relay/StartupQueue.cpp
+++ b/src/relay/StartupQueue.cpp
@@ -34,7 +34,7 @@
 
 void StartupQueue::release()
 {
-    // One that still lacks something is held again.
+    // A request that still lacks something is held again.
     for (const auto& held : std::exchange(m_held, {})) {
         m_context.waitingRoom.leave(held.request.exchange->request().body.size());
         m_released(held.request);
--- a/src/relay/StartupQueue.h
+++ b/src/relay/StartupQueue.h
@@ -1,11 +1,11 @@
-// Holds the requests that came before the VM knew what it needs to serve them.
+// Holds requests that arrived before the VM knew what it needs to serve them.
 //
-// admission/StartupWait decides who waits and how long; this class carries it out: it keeps the requests in order of
-// arrival, lets one go when its caller leaves, and hands each on when the news is there or its time is over.
+// admission/StartupWait decides which requests wait and for how long. This class keeps them in order of arrival, drops
+// one whose caller disconnects, and hands each on when the information has arrived or its time is over.
 //
 //     StartupQueue queue(context, [this](const StartupQueue::Request& request) { handle(request); });
 //     if (!queue.hold(exchange, arrivedAt, until)) ...        // No room.
-//     queue.release();                                         // The news is there.
+//     queue.release();                                         // The information has arrived.
 //
 // Used on the relay's thread only. Lives for the process.
 #pragma once
@@ -27,14 +27,14 @@
         std::shared_ptr<HttpExchange> exchange;
         Milliseconds arrivedAt { 0 };
     };
-    // Told each request that waits no more.
+    // Called with each request that stops waiting.
     using Released = std::function<void(const Request&)>;
 
     StartupQueue(RelayContext&, Released);
 
-    // Keeps a request until the instant, or until release(). False when there is no room for it.
+    // Holds the request until the given time or until release(). False when there is no room for it.
     bool hold(const Request&, Milliseconds until);
-    // Hands all requests on, the first one first.
+    // Hands on all requests in order of arrival.
     void release();
 
 private:
@@ -43,7 +43,7 @@
         std::unique_ptr<boost::asio::steady_timer> timer;
     };
 
-    // Takes a request out; false when it has gone already.
+    // Removes a request; false when it has been removed already.
     bool take(const std::shared_ptr<HttpExchange>&);
 
     RelayContext& m_context;
--- a/test/EndpointDirectoryTest.cpp
+++ b/test/EndpointDirectoryTest.cpp
@@ -48,9 +48,9 @@
         STRCMP_EQUAL("e2", chosen().c_str());
 }
 
-// Found by veilgate trouble-1 with seed 12 (a call that may run again had one endpoint left that it had not tried) and
-// by hunts on veilgate-grown (late news and the time as a last resort added up): an endpoint that says that it leaves
-// is no last resort at all.
+// An endpoint that announces that it shuts down must not be used even as a last resort. A repeatable call with only
+// this endpoint left untried was sent there, and a late update added to the grace time as a last resort let requests
+// reach endpoints after they had left.
 TEST(EndpointDirectory, GivesNoWorkToADrainingEndpointEvenWhenItIsTheLastOne)
 {
     directory->replaceAll({ entry("e1", 1) }, now);
@@ -102,9 +102,9 @@
     directory->upsert(entry("e1", 2), now);
     directory->upsert(entry("e2", 1), now);
     CHECK_TEXT(directory->find("e2") != nullptr, "the new endpoint should be known");
-    LONGS_EQUAL_TEXT(2, directory->size(), "e1 lives on at its new address");
+    LONGS_EQUAL_TEXT(2, directory->size(), "e1 must remain at its new address");
     directory->upsert(entry("e3", 2), now);
-    CHECK_TEXT(directory->find("e1") == nullptr, "e1 has been replaced at the address that it had last");
+    CHECK_TEXT(directory->find("e1") == nullptr, "e1 must be replaced at its latest address");
 }
 
 TEST(EndpointDirectory, ANewIncarnationAtAnAddressEndsTheOneBeforeIt)
@@ -120,7 +120,7 @@
     directory->upsert(entry("e1", 1), now);
     directory->upsert(entry("e2", 1), now);
     STRCMP_EQUAL("e2", directory->findAt("s", address)->entry().id.c_str());
-    CHECK_TEXT(!directory->findAt("other", address), "an address may be given to an endpoint of another service");
+    CHECK_TEXT(!directory->findAt("other", address), "an endpoint of another service must not be found at the address");
     directory->remove("e2", now);
     CHECK_FALSE(directory->findAt("s", address));
 }
@@ -131,7 +131,8 @@
     const auto endpoints = directory->endpointsOf("s");
     directory->noteFailure(*endpoints[0], now);
     directory->noteFailure(*endpoints[0], now);
-    CHECK_FALSE_TEXT(directory->isZoneAvoided("a", now), "one endpoint that fails twice is no failing zone");
+    CHECK_FALSE_TEXT(
+        directory->isZoneAvoided("a", now), "two failures of one endpoint must not make its zone a failing one");
     directory->noteFailure(*endpoints[1], now);
     CHECK(directory->isZoneAvoided("a", now));
     STRCMP_EQUAL("far", chosen().c_str());
@@ -149,8 +150,7 @@
     CHECK_FALSE(directory->isZoneAvoided("a", now));
 }
 
-// Found by savinja-knot quiet-1: runs were moved to engines of a zone that had just failed, whose entries were still
-// listed, and had to begin anew.
+// Runs were moved to engines of a zone that had just failed, whose entries were still listed, and had to start over.
 TEST(EndpointDirectory, DoubtsEndpointsOfAZoneThatFailedUntilTheyShowLife)
 {
     directory->replaceAll({ entry("e1", 1), entry("e2", 2), entry("e3", 3), entry("e4", 4) }, now);
@@ -162,13 +162,16 @@
     endpoints[3]->noteLife(now);
     directory->upsert(entry("e5", 5), now);
     CHECK(directory->isDoubtful(*endpoints[2], now));
-    CHECK_FALSE_TEXT(directory->isDoubtful(*endpoints[3], now), "one that has answered since lives");
-    CHECK_FALSE_TEXT(directory->isDoubtful(*directory->find("e5"), now), "one that was listed since lives");
+    CHECK_FALSE_TEXT(
+        directory->isDoubtful(*endpoints[3], now), "an endpoint that has answered since the failure is alive");
+    CHECK_FALSE_TEXT(directory->isDoubtful(*directory->find("e5"), now),
+        "an endpoint that was first listed after the failure is alive");
     now += settings.doubtAfterZoneFailure;
     CHECK_FALSE(directory->isDoubtful(*endpoints[2], now));
 }
 
-// A zone of 64 engines that fails and comes back would be 128 lines and more on each VM, told one by one.
+// With one log line per endpoint, a zone of 64 engines that fails and returns would write at least 128 lines on each
+// VM.
 TEST(EndpointDirectory, AChangeOfTheListIsToldAsOne)
 {
     std::vector<EndpointEntry> zone;
@@ -184,14 +187,14 @@
     const auto counts = directory->change(returned, now);
     LONGS_EQUAL(64, counts.added);
     LONGS_EQUAL(64, counts.replaced);
-    LONGS_EQUAL_TEXT(0, counts.removed, "what a new one has replaced counts once");
+    LONGS_EQUAL_TEXT(0, counts.removed, "a replaced endpoint must not count as removed as well");
     directory->remove("new0", now);
-    LONGS_EQUAL_TEXT(1, directory->change({}, now).removed, "what an answer has shown to be gone comes with the next");
+    LONGS_EQUAL_TEXT(
+        1, directory->change({}, now).removed, "a removal after an answer must count with the next change");
 }
 
-// Found by pwani-pay trouble-1 with seed 301: an engine that came back after a crash and was taken away 0.4 s later was
-// listed and removed within one answer of the list's source. It stayed in use, and got a request 3.3 s after it had
-// left.
+// An engine that returned after a crash and was withdrawn 0.4 s later was listed and removed within one answer of the
+// store. It stayed in use and received a request 3.3 s after it had left.
 TEST(EndpointDirectory, AnEndpointThatComesAndGoesWithinOneChangeIsGone)
 {
     directory->replaceAll({ entry("e1", 1) }, now);
@@ -206,12 +209,12 @@
 {
     directory->replaceAll({ entry("e1", 1), entry("e2", 2) }, now);
     directory->change({ { entry("e1", 1), false }, { entry("e1", 1), true } }, now);
-    CHECK_TEXT(directory->find("e1")->isRemoved(), "it was listed once more and then removed");
+    CHECK_TEXT(directory->find("e1")->isRemoved(), "e1 was listed again and then removed");
     directory->change({ { entry("e2", 2), true }, { entry("e2", 2), false } }, now);
-    CHECK_FALSE_TEXT(directory->find("e2")->isRemoved(), "it was removed and is listed again");
+    CHECK_FALSE_TEXT(directory->find("e2")->isRemoved(), "e2 was removed and then listed again");
 }
 
-// An endpoint may start again under the id that it had; it then knows nothing of what it ran before.
+// An endpoint may restart under the same id; it has then lost all state of its earlier runs.
 TEST(EndpointDirectory, ALaterStartUnderTheSameIdIsAnotherEndpoint)
 {
     auto first = entry("e1", 1);
@@ -223,7 +226,7 @@
     second.born = 200;
     directory->upsert(second, now);
     const auto later = directory->find("e1");
-    CHECK_TEXT(later != earlier, "what was believed of the earlier start is not believed of this one");
+    CHECK_TEXT(later != earlier, "the later incarnation must not inherit the state of the earlier one");
     CHECK(earlier->isRemoved());
     CHECK_FALSE(later->isAvoided(now));
     CHECK(directory->findAt("s", { "127.0.0.1", 1 }) == later);
@@ -254,10 +257,10 @@
     const auto present = directory->find("e1");
     directory->upsert(entry("e1", 1), now);
     CHECK(directory->find("e1") == present);
-    LONGS_EQUAL_TEXT(100, present->entry().born, "it is still known which start that is");
+    LONGS_EQUAL_TEXT(100, present->entry().born, "the known start time must be kept");
 }
 
-// Another writer's entry names a service of its own and an endpoint's address.
+// An entry from another writer may name a service of its own together with an endpoint's address.
 TEST(EndpointDirectory, AnEntryOfAServiceThatIsNotNamedTakesNoEndpointsAddress)
 {
     directory->setServices([](const std::string& service) { return service == "s"; });
--- a/test/EngineForecastTest.cpp
+++ b/test/EngineForecastTest.cpp
@@ -24,7 +24,7 @@
 
 TEST(EngineForecast, PromptsThatAreReadOrWaitDelayTheRequest)
 {
-    LONGS_EQUAL_TEXT(1500, delay({ .promptsBeingRead = 1 }), "a prompt that is being read is half read");
+    LONGS_EQUAL_TEXT(1500, delay({ .promptsBeingRead = 1 }), "a prompt in prefill counts as half processed");
     LONGS_EQUAL(3500, delay({ .promptsBeingRead = 1, .promptsWaiting = 2 }));
 }
 
@@ -36,7 +36,7 @@
 TEST(EngineForecast, OwnPromptsThatTheReportDoesNotKnowYetCountOnce)
 {
     LONGS_EQUAL(2000, delay({}, 1));
-    LONGS_EQUAL_TEXT(1500, delay({ .promptsBeingRead = 1 }, 1), "the report knows of this one");
+    LONGS_EQUAL_TEXT(1500, delay({ .promptsBeingRead = 1 }, 1), "the report already contains this prompt");
 }
 
 TEST(EngineForecast, AnEngineWithoutRoomComesBehindAnyOther)
--- a/test/EngineSurveyTest.cpp
+++ b/test/EngineSurveyTest.cpp
@@ -27,7 +27,7 @@
 
     void teardown() override { relay.reset(); }
 
-    // An engine that says so much of its load and serves streams of two events.
+    // Adds an engine that reports this load and serves streams of two events.
     ScriptedEndpoint& addEngine(const std::string& id, const std::string& report, const std::string& zone = "a")
     {
         auto& engine = relay->addEndpoint(id, zone);
@@ -111,7 +111,7 @@
     LONGS_EQUAL(1, engine.requests().size());
 }
 
-// The engine that ran the request before has read its prompt.
+// The engine that ran the earlier request has its prompt cached.
 TEST(EngineSurvey, ACallerWhoComesBackIsServedWithoutAQuestion)
 {
     auto& first = addEngine("e1", load(0, 0));
--- a/test/KeeperChoiceTest.cpp
+++ b/test/KeeperChoiceTest.cpp
@@ -42,7 +42,7 @@
         std::size_t shared = 0;
         for (const auto& name : keepers(std::to_string(i), fewer))
             shared += keepers(std::to_string(i), names).count(name);
-        CHECK_TEXT(shared >= keepersOfALocation - 1, "the loss of one VM moves one keeper at most");
+        CHECK_TEXT(shared >= keepersOfALocation - 1, "the loss of one VM must replace at most one keeper");
     }
 }
 
--- a/test/PlacementTest.cpp
+++ b/test/PlacementTest.cpp
@@ -85,7 +85,7 @@
     for (const auto& endpoint : directory->endpointsOf("s"))
         endpoint->avoidUntil(now + Milliseconds { 1 });
     CHECK(!choose({ .mustBeSound = true }));
-    CHECK_TEXT(choose({}) != nullptr, "an avoided endpoint is still better than none");
+    CHECK_TEXT(choose({}) != nullptr, "an avoided endpoint must still be chosen when there is no other");
 }
 
 TEST(Placement, ChoosesTheEngineThatReportsLeastToDo)
--- a/test/RetryBudgetFleetTest.cpp
+++ b/test/RetryBudgetFleetTest.cpp
@@ -1,5 +1,5 @@
-// A fleet of VMs that know nothing of each other's retries, played with seeds: together they keep to the budget in
-// every window, whatever happens to them.
+// Simulates a fleet of VMs that do not coordinate their retries, for a range of seeds: together they must stay within
+// the budget in every window.
 #include "model/RetryModel.h"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
             .asCharString());
 }
 
-// Seeds beyond the first sixty that broke the budget.
+// Seeds above 60 with which the fleet exceeded the budget.
 constexpr std::array<std::uint64_t, 13> seedsThatExceeded { 83, 104, 130, 164, 168, 175, 196, 255, 300, 322, 332, 366,
     441 };
 
@@ -30,8 +30,8 @@
 
 TEST_GROUP(RetryBudgetFleet) {};
 
-// Engines at half the speed whose names change while the store is silent: runs last twice as long, so that more are
-// lost at a time, and two in five sendings are turned away. Each VM took 2.3 times its part.
+// Engines run at half speed and change their names while the store is unavailable: runs last twice as long, more of
+// them are lost at a time, and two in five attempts are rejected. Each VM took 2.3 times its part.
 TEST(RetryBudgetFleet, KeepsToTheBudgetWhileEnginesComeBackUnderNamesThatNobodyKnows)
 {
     for (std::uint64_t seed = 21; seed < 31; ++seed)
@@ -47,10 +47,12 @@
     }
 }
 
-// The whole budget is of use: where losses are alike on all VMs, they spend most of it.
+// The budget must be usable: where losses are alike on all VMs, they spend most of it.
 TEST(RetryBudgetFleet, SpendsMostOfTheBudgetWhenAllAreStruck)
 {
     const auto outcome = playRetries({ .seed = 3, .turnedAwayShare = 0.7, .turnedAwayWhileSilent = 0.9 });
     const auto left = static_cast<int>(-outcome.greatestExcess);
-    CHECK_TEXT(left < 150, StringFromFormat("%d of some 520 retries in a window are left", left).asCharString());
+    CHECK_TEXT(left < 150,
+        StringFromFormat("%d of about 520 retries in a window are unused, expected fewer than 150", left)
+            .asCharString());
 }
--- a/test/RetryBudgetTest.cpp
+++ b/test/RetryBudgetTest.cpp
@@ -25,7 +25,7 @@
         settings.retrySlackShare = 0.2;
     }
 
-    // For a request that came before the window.
+    // Takes a retry for a request that arrived before the window.
     bool take(RetryBudget & budget, RetryPurpose purpose = RetryPurpose::Rescue)
     {
         return budget.take(purpose, now - settings.retryWindow - Milliseconds { 1 }, now);
@@ -78,7 +78,7 @@
     RetryBudget budget(settings);
     for (int i = 0; i < 14; ++i)
         budget.noteRequest(now);
-    LONGS_EQUAL_TEXT(9, takeAll(budget), "what one VM takes beyond its part, each of hundreds takes as well");
+    LONGS_EQUAL_TEXT(9, takeAll(budget), "a VM must not exceed its part: hundreds of VMs would do the same");
 }
 
 TEST(RetryBudget, FractionsOfARetryAddUpOverTheVms)
@@ -91,7 +91,7 @@
         RetryBudget budget(settings);
         taken += takeAll(budget);
     }
-    CHECK_TEXT(taken > 250 && taken < 310, "0.7 of a retry each, 280 for all");
+    CHECK_TEXT(taken > 250 && taken < 310, "400 VMs with 0.7 of a retry each should take about 280");
 }
 
 TEST(RetryBudget, TakesNoShareOfTheFixedNumberJustAfterAStart)
@@ -113,10 +113,11 @@
     CHECK(take(budget));
     budget.giveBack();
     now += settings.retryWindow / 2 + Milliseconds { 1 };
-    LONGS_EQUAL_TEXT(1, takeAll(budget), "the later of the two is still in the window");
+    LONGS_EQUAL_TEXT(1, takeAll(budget), "the later retry must still count within the window");
 }
 
-// In a fleet of 305 VMs each had one request more than usual just when it wanted retries: 53 beyond the budget.
+// In a fleet of 305 VMs, each had one request more than usual just when it needed retries: the fleet sent 53 retries
+// beyond the budget.
 TEST(RetryBudget, ARequestDoesNotCountTowardsItsOwnRetries)
 {
     settings.retryRatio = 1;
@@ -126,7 +127,7 @@
     int taken = 0;
     while (taken < 100 && budget.take(RetryPurpose::Rescue, now, now))
         ++taken;
-    LONGS_EQUAL_TEXT(6, taken, "four other requests and the share of the fixed number");
+    LONGS_EQUAL_TEXT(6, taken, "four for the other requests and two of the fixed number");
 }
 
 TEST(RetryBudget, EarnsLessJustAfterAStart)
@@ -150,9 +151,9 @@
     LONGS_EQUAL(1, takeAll(budget));
 }
 
-// Found by trouble-3 of veilgate-large with seed 35: a plain service was full for seconds, calls that waited for a
-// place were sent again on all 295 VMs, and each VM took what was meant for losses that strike only some of them: 3,969
-// retries in 10 s for 4,671 requests, 3,887 allowed.
+// A plain service was full for seconds, and the calls that waited for capacity were sent again on all 295 VMs. Each VM
+// spent what was meant for losses that affect only some of them: 3,969 retries in 10 s for 4,671 requests, where 3,887
+// were allowed.
 TEST(RetryBudget, AFullServiceDoesNotMakeAFleetExceedItsBudget)
 {
     constexpr int vmCount = 295;
@@ -176,7 +177,7 @@
                 vm.noteRequest(now);
                 ++requests.back();
             }
-            // Every call that waits tries again as often as it may.
+            // Every waiting call retries as often as it may.
             retries.back() += take(vm, RetryPurpose::FullService) ? 1 : 0;
         }
         now += Milliseconds { 100 };
@@ -186,6 +187,6 @@
         const auto sum = [from](const std::vector<int>& counts) {
             return std::accumulate(counts.begin() + from, counts.begin() + from + window, 0);
         };
-        CHECK_TEXT(sum(retries) <= 0.8 * sum(requests) + 150, "all VMs together must keep to the budget");
+        CHECK_TEXT(sum(retries) <= 0.8 * sum(requests) + 150, "all VMs together must stay within the budget");
     }
 }
--- a/test/ServicePaceTest.cpp
+++ b/test/ServicePaceTest.cpp
@@ -20,7 +20,7 @@
 {
     LONGS_EQUAL(75, pace.hedgeDelay().count());
     LONGS_EQUAL(170, pace.silenceBeforeQuestion(Milliseconds { 170 }).count());
-    LONGS_EQUAL_TEXT(1500, pace.silenceBeforeFirstEvent(5000).count(), "half as long again as the reading takes");
+    LONGS_EQUAL_TEXT(1500, pace.silenceBeforeFirstEvent(5000).count(), "1.5 times the prefill time");
     LONGS_EQUAL(1000, readTime({ 5000, 0 }, pace.engine()).count());
 }
 
