--- a/src/relay/EndpointDirectory.cpp
+++ b/src/relay/EndpointDirectory.cpp
@@ -11,7 +11,7 @@
 
 const std::vector<std::shared_ptr<RelayEndpoint>> noEndpoints;
 // How long a removed entry is remembered: an older copy of the list may name it for as long.
-constexpr Milliseconds departureRemembered { 60'000 };
+constexpr Milliseconds removalRetention { 60'000 };
 
 } // namespace
 
@@ -23,15 +23,15 @@
 
 void EndpointDirectory::upsert(EndpointEntry entry, Milliseconds now)
 {
-    if (!retireEarlierStart(entry, now))
+    if (!removeEarlierIncarnation(entry, now))
         return;
-    keepLeaving(entry);
-    m_doubt.missing.erase(entry.id);
-    m_doubt.returned.erase(entry.id);
+    applyAnnouncedShutdown(entry);
+    m_unconfirmed.missing.erase(entry.id);
+    m_unconfirmed.relisted.erase(entry.id);
     const auto known = m_endpointsById.find(entry.id);
     if (known != m_endpointsById.end())
         m_idsByAddress.erase(known->second->entry().address.text());
-    retireOtherAt(entry, now);
+    removePreviousAt(entry, now);
     if (known != m_endpointsById.end()) {
         const auto endpoint = known->second;
         // An entry without a start time is taken to be of the known incarnation.
@@ -51,69 +51,69 @@
     const auto id = entry.id;
     const ClientConnectionSettings connection { .connectTimeout = m_settings.endpointConnectTimeout };
     const auto endpoint = std::make_shared<RelayEndpoint>(m_ioContext, entry, connection, now);
-    if (const auto departure = m_departures.find(entry.startName()); departure != m_departures.end())
-        endpoint->restoreSignals(departure->second.signals, now);
+    if (const auto removal = m_removals.find(entry.startName()); removal != m_removals.end())
+        endpoint->restoreSignals(removal->second.signals, now);
     endpoint->updateEntry(std::move(entry), now);
     m_endpointsById.emplace(id, endpoint);
     m_endpointsByService[service].push_back(endpoint);
 }
 
-void EndpointDirectory::keepLeaving(EndpointEntry& entry) const
+void EndpointDirectory::applyAnnouncedShutdown(EndpointEntry& entry) const
 {
     const auto known = m_endpointsById.find(entry.id);
     if (known != m_endpointsById.end() && !known->second->isRemoved()) {
         entry.isDraining = entry.isDraining || known->second->entry().isDraining;
         return;
     }
-    const auto departure = m_departures.find(entry.startName());
-    entry.isDraining = entry.isDraining || (departure != m_departures.end() && departure->second.signals.isLeaving());
+    const auto removal = m_removals.find(entry.startName());
+    entry.isDraining = entry.isDraining || (removal != m_removals.end() && removal->second.signals.isLeaving());
 }
 
 bool EndpointDirectory::isKnownGone(const EndpointEntry& entry) const
 {
     const auto known = m_endpointsById.find(entry.id);
     const bool isListed = known != m_endpointsById.end() && !known->second->isRemoved();
-    return !isListed && m_departures.count(entry.startName()) > 0;
+    return !isListed && m_removals.count(entry.startName()) > 0;
 }
 
-void EndpointDirectory::takeReturned(EndpointEntry entry, Milliseconds now)
+void EndpointDirectory::recordRelisted(EndpointEntry entry, Milliseconds now)
 {
     // The announcement that it shuts down is taken over at once: the endpoint may still be in use as a last resort.
     if (entry.isDraining) {
-        m_departures.at(entry.startName()).signals.noteLeaving();
+        m_removals.at(entry.startName()).signals.noteLeaving();
         if (const auto known = find(entry.id))
             known->setDraining(now);
     }
-    m_doubt.returned.insert_or_assign(entry.id, std::move(entry));
+    m_unconfirmed.relisted.insert_or_assign(entry.id, std::move(entry));
 }
 
-bool EndpointDirectory::retireEarlierStart(const EndpointEntry& entry, Milliseconds now)
+bool EndpointDirectory::removeEarlierIncarnation(const EndpointEntry& entry, Milliseconds now)
 {
     const auto known = m_endpointsById.find(entry.id);
     if (known == m_endpointsById.end() || entry.born == 0)
         return true;
-    const auto present = known->second;
-    if (entry.born < present->entry().born) {
+    const auto current = known->second;
+    if (entry.born < current->entry().born) {
         LogEvent("endpoint.stale-entry")
             .text("endpoint", entry.id)
             .number("born", static_cast<std::int64_t>(entry.born))
-            .number("known_born", static_cast<std::int64_t>(present->entry().born))
+            .number("known_born", static_cast<std::int64_t>(current->entry().born))
             .write();
         return false;
     }
-    if (present->entry().born == 0 || entry.born == present->entry().born)
+    if (current->entry().born == 0 || entry.born == current->entry().born)
         return true;
     ++m_counts.replaced;
     logEndpoint("endpoint.restarted", entry);
     remove(entry.id, now);
-    forget(present);
+    drop(current);
     return true;
 }
 
 // A new incarnation at an address proves that the previous one is gone.
-void EndpointDirectory::retireOtherAt(const EndpointEntry& entry, Milliseconds now)
+void EndpointDirectory::removePreviousAt(const EndpointEntry& entry, Milliseconds now)
 {
-    if (m_isService && !m_isService(entry.service))
+    if (m_isKnownService && !m_isKnownService(entry.service))
         return;
     auto& id = m_idsByAddress[entry.address.text()];
     const auto previous = std::exchange(id, entry.id);
@@ -123,18 +123,18 @@
     ++m_counts.replaced;
     logEndpoint("endpoint.replaced", known->second->entry());
     remove(previous, now);
-    forget(std::shared_ptr<RelayEndpoint>(known->second));
+    drop(std::shared_ptr<RelayEndpoint>(known->second));
 }
 
 void EndpointDirectory::remove(const std::string& id, Milliseconds now)
 {
-    m_doubt.missing.erase(id);
-    m_doubt.returned.erase(id);
+    m_unconfirmed.missing.erase(id);
+    m_unconfirmed.relisted.erase(id);
     const auto known = m_endpointsById.find(id);
     if (known == m_endpointsById.end() || known->second->isRemoved())
         return;
     const auto& entry = known->second->entry();
-    m_departures.insert_or_assign(entry.startName(), Departure { now, known->second->signals() });
+    m_removals.insert_or_assign(entry.startName(), Removal { now, known->second->signals() });
     ++m_counts.removed;
     logEndpoint("endpoint.removed", known->second->entry());
     known->second->setRemoved(now);
@@ -177,7 +177,7 @@
         .number("changed", counts.changed)
         .number("replaced", counts.replaced)
         .number("removed", counts.removed)
-        .number("in_doubt", static_cast<std::int64_t>(m_doubt.missing.size() + m_doubt.returned.size()))
+        .number("in_doubt", static_cast<std::int64_t>(m_unconfirmed.missing.size() + m_unconfirmed.relisted.size()))
         .number("known", static_cast<std::int64_t>(size()))
         .write();
     return counts;
@@ -187,13 +187,13 @@
     std::vector<EndpointEntry> entries, Milliseconds now, std::uint64_t version)
 {
     const bool isFirst = !std::exchange(m_isKnown, true);
-    const bool mayNameGone = m_listConfirmedAt < m_goneStayUntil;
-    const bool mayLackPresent = m_listConfirmedAt < m_missingStayUntil;
+    const bool mayNameGone = m_listConfirmedAt < m_ignoreGoneUntil;
+    const bool mayLackPresent = m_listConfirmedAt < m_keepMissingUntil;
     std::set<std::string> listed;
     for (auto& entry : entries) {
         listed.insert(entry.id);
         if (mayNameGone && isKnownGone(entry))
-            takeReturned(std::move(entry), now);
+            recordRelisted(std::move(entry), now);
         else
             upsert(std::move(entry), now);
     }
@@ -204,7 +204,7 @@
     }
     for (const auto& id : gone) {
         if (mayLackPresent)
-            m_doubt.missing.insert(id);
+            m_unconfirmed.missing.insert(id);
         else
             remove(id, now);
     }
@@ -235,38 +235,38 @@
 
 void EndpointDirectory::listRestored(Milliseconds now)
 {
-    m_doubt = {};
-    m_missingStayUntil = now + m_settings.missingEndpointsStay;
-    m_goneStayUntil = now + m_settings.goneEndpointsStay;
+    m_unconfirmed = {};
+    m_keepMissingUntil = now + m_settings.missingEndpointsStay;
+    m_ignoreGoneUntil = now + m_settings.goneEndpointsStay;
 }
 
-void EndpointDirectory::settleList(Milliseconds now)
+void EndpointDirectory::applyUnconfirmed(Milliseconds now)
 {
     const auto missing
-        = m_listConfirmedAt < m_missingStayUntil ? std::set<std::string>() : std::exchange(m_doubt.missing, {});
-    const auto returned = m_listConfirmedAt < m_goneStayUntil ? std::map<std::string, EndpointEntry>()
-                                                              : std::exchange(m_doubt.returned, {});
-    if (missing.empty() && returned.empty())
+        = m_listConfirmedAt < m_keepMissingUntil ? std::set<std::string>() : std::exchange(m_unconfirmed.missing, {});
+    const auto relisted = m_listConfirmedAt < m_ignoreGoneUntil ? std::map<std::string, EndpointEntry>()
+                                                                : std::exchange(m_unconfirmed.relisted, {});
+    if (missing.empty() && relisted.empty())
         return;
     // The grace time as a last resort starts when the list's time passed, not when this is noticed.
     for (const auto& id : missing)
-        remove(id, m_missingStayUntil);
-    for (const auto& entry : returned)
+        remove(id, m_keepMissingUntil);
+    for (const auto& entry : relisted)
         upsert(entry.second, now);
     m_counts = {};
     LogEvent("endpoints.settled")
         .number("missing", static_cast<std::int64_t>(missing.size()))
-        .number("returned", static_cast<std::int64_t>(returned.size()))
+        .number("returned", static_cast<std::int64_t>(relisted.size()))
         .number("known", static_cast<std::int64_t>(size()))
         .write();
 }
 
 void EndpointDirectory::dropExpired(Milliseconds now)
 {
-    settleList(now);
-    std::erase_if(m_departures, [now](const auto& entry) {
-        const auto& departure = entry.second;
-        return now - departure.at > departureRemembered && !departure.signals.isResting(now);
+    applyUnconfirmed(now);
+    std::erase_if(m_removals, [now](const auto& entry) {
+        const auto& removal = entry.second;
+        return now - removal.at > removalRetention && !removal.signals.isResting(now);
     });
     std::vector<std::shared_ptr<RelayEndpoint>> expired;
     for (const auto& known : m_endpointsById) {
@@ -274,17 +274,17 @@
             expired.push_back(known.second);
     }
     for (const auto& endpoint : expired)
-        forget(endpoint);
+        drop(endpoint);
 }
 
-void EndpointDirectory::forget(const std::shared_ptr<RelayEndpoint>& endpoint)
+void EndpointDirectory::drop(const std::shared_ptr<RelayEndpoint>& endpoint)
 {
     // The entry may only have expired: what the endpoint announced still holds when it is listed again.
-    if (const auto departure = m_departures.find(endpoint->entry().startName()); departure != m_departures.end())
-        departure->second.signals.merge(endpoint->signals());
-    const auto here = m_idsByAddress.find(endpoint->entry().address.text());
-    if (here != m_idsByAddress.end() && here->second == endpoint->entry().id)
-        m_idsByAddress.erase(here);
+    if (const auto removal = m_removals.find(endpoint->entry().startName()); removal != m_removals.end())
+        removal->second.signals.merge(endpoint->signals());
+    const auto atAddress = m_idsByAddress.find(endpoint->entry().address.text());
+    if (atAddress != m_idsByAddress.end() && atAddress->second == endpoint->entry().id)
+        m_idsByAddress.erase(atAddress);
     auto& list = m_endpointsByService[endpoint->entry().service];
     list.erase(std::remove(list.begin(), list.end(), endpoint), list.end());
     m_endpointsById.erase(endpoint->entry().id);
@@ -316,7 +316,7 @@
     zone.avoidUntil = now + m_settings.avoidZone;
 }
 
-bool EndpointDirectory::isDoubtful(const RelayEndpoint& endpoint, Milliseconds now) const
+bool EndpointDirectory::isSuspected(const RelayEndpoint& endpoint, Milliseconds now) const
 {
     const auto zone = m_zones.find(endpoint.entry().availabilityZone);
     return zone != m_zones.end() && zone->second.failedAt > endpoint.lastLife()
--- a/src/relay/EndpointDirectory.h
+++ b/src/relay/EndpointDirectory.h
@@ -64,7 +64,7 @@
     bool isKnown() const { return m_isKnown; }
     // Sets which services exist; an entry of another service does not replace the endpoint at its address. Without this
     // call, all services do.
-    void setServices(std::function<bool(const std::string& service)> isKnown) { m_isService = std::move(isKnown); }
+    void setServices(std::function<bool(const std::string& service)> isKnown) { m_isKnownService = std::move(isKnown); }
     // Sets the function to call after the first list has been applied.
     void onFirstList(std::function<void()> callback) { m_onFirstList = std::move(callback); }
     std::size_t size() const { return m_endpointsById.size(); }
@@ -82,7 +82,7 @@
     void noteFailure(const RelayEndpoint&, Milliseconds now);
     bool isZoneAvoided(const std::string& zone, Milliseconds now) const;
     // True for an endpoint of a zone that failed recently if nothing has been heard from the endpoint since.
-    bool isDoubtful(const RelayEndpoint&, Milliseconds now) const;
+    bool isSuspected(const RelayEndpoint&, Milliseconds now) const;
     // True when several endpoints of the zone have failed together since that time.
     bool hasZoneFailedSince(const std::string& zone, Milliseconds since) const;
 
@@ -92,14 +92,14 @@
         Milliseconds at;
     };
     // An incarnation whose entry was removed.
-    struct Departure {
+    struct Removal {
         Milliseconds at;
         EndpointSignals signals;
     };
     // Differences between a restored list and local knowledge that are not applied yet, by id.
-    struct Doubt {
+    struct UnconfirmedChanges {
         std::set<std::string> missing;
-        std::map<std::string, EndpointEntry> returned;
+        std::map<std::string, EndpointEntry> relisted;
     };
     struct ZoneHealth {
         std::deque<Failure> failures;
@@ -112,20 +112,20 @@
     void logEndpoint(std::string_view event, const EndpointEntry&) const;
     // Writes the log line of an applied list or change and resets the counts.
     EndpointCounts logCounts(bool isWhole, std::uint64_t version);
-    void retireOtherAt(const EndpointEntry&, Milliseconds now);
+    void removePreviousAt(const EndpointEntry&, Milliseconds now);
     // Removes an earlier incarnation of the endpoint. False when the entry itself is of an earlier incarnation.
-    bool retireEarlierStart(const EndpointEntry&, Milliseconds now);
-    void forget(const std::shared_ptr<RelayEndpoint>&);
+    bool removeEarlierIncarnation(const EndpointEntry&, Milliseconds now);
+    void drop(const std::shared_ptr<RelayEndpoint>&);
     // Marks the entry as draining if this incarnation has announced that it shuts down.
-    void keepLeaving(EndpointEntry&) const;
+    void applyAnnouncedShutdown(EndpointEntry&) const;
     // True for an incarnation that is known to be gone.
     bool isKnownGone(const EndpointEntry&) const;
     // Records that a restored list names an incarnation that is known to be gone; it is listed only if it is still
     // there when the time for that has passed.
-    void takeReturned(EndpointEntry, Milliseconds now);
+    void recordRelisted(EndpointEntry, Milliseconds now);
     // Removes the endpoints that the restored list lacked and lists those that it named although they were known to be
     // gone, each after its own time.
-    void settleList(Milliseconds now);
+    void applyUnconfirmed(Milliseconds now);
 
     boost::asio::io_context& m_ioContext;
     const RelaySettings& m_settings;
@@ -137,14 +137,14 @@
     // Counts of the list or change that is being applied.
     EndpointCounts m_counts;
     // By EndpointEntry::startName().
-    std::map<std::string, Departure> m_departures;
-    Doubt m_doubt;
+    std::map<std::string, Removal> m_removals;
+    UnconfirmedChanges m_unconfirmed;
     // Until these times, endpoints that the list lacks stay, and endpoints that are gone are not listed again.
-    Milliseconds m_missingStayUntil { 0 };
-    Milliseconds m_goneStayUntil { 0 };
+    Milliseconds m_keepMissingUntil { 0 };
+    Milliseconds m_ignoreGoneUntil { 0 };
     Milliseconds m_listConfirmedAt { 0 };
     bool m_isKnown { false };
-    std::function<bool(const std::string&)> m_isService;
+    std::function<bool(const std::string&)> m_isKnownService;
     std::function<void()> m_onFirstList;
 };
 
--- a/src/relay/EngineChoice.cpp
+++ b/src/relay/EngineChoice.cpp
@@ -48,13 +48,13 @@
             const auto self = weak.lock();
             if (!self)
                 return;
-            self->earlierRunFound(location);
+            self->onEarlierRunFound(location);
             callback();
         });
     return true;
 }
 
-void EngineChoice::earlierRunFound(const std::optional<RunLocation>& location)
+void EngineChoice::onEarlierRunFound(const std::optional<RunLocation>& location)
 {
     if (location) {
         m_earlierEngine = m_context.directory.find(location->endpointId);
@@ -88,19 +88,19 @@
         runLocations()->forget(m_request.fields.promptId);
 }
 
-bool EngineChoice::isSound(const RelayEndpoint& engine) const
+bool EngineChoice::isHealthy(const RelayEndpoint& engine) const
 {
     const auto now = m_context.now();
     return !engine.isLeaving() && !engine.isAvoided(now) && !engine.isResting(now) && now >= engine.noPermitUntil()
         && !m_context.directory.isZoneAvoided(engine.entry().availabilityZone, now)
-        && !m_context.directory.isDoubtful(engine, now);
+        && !m_context.directory.isSuspected(engine, now);
 }
 
-std::optional<RunPlace> EngineChoice::placeOfCopy() const
+std::optional<RunTarget> EngineChoice::placeOfCopy() const
 {
-    if (!m_copyHolder || !isSound(*m_copyHolder) || !m_rollout.next().admits(m_copyHolder->entry().version))
+    if (!m_copyHolder || !isHealthy(*m_copyHolder) || !m_rollout.next().admits(m_copyHolder->entry().version))
         return std::nullopt;
-    return RunPlace { m_copyHolder, { m_copyHolder->entry().address, m_copyName } };
+    return RunTarget { m_copyHolder, { m_copyHolder->entry().address, m_copyName } };
 }
 
 void EngineChoice::setCopy(std::shared_ptr<RelayEndpoint> holder, std::string name)
@@ -112,16 +112,16 @@
 std::shared_ptr<RelayEndpoint> EngineChoice::takeEarlierEngine()
 {
     const auto earlier = std::exchange(m_earlierEngine, nullptr);
-    const bool isUsable = earlier && isSound(*earlier) && m_rollout.next().admits(earlier->entry().version);
+    const bool isUsable = earlier && isHealthy(*earlier) && m_rollout.next().admits(earlier->entry().version);
     return isUsable ? earlier : nullptr;
 }
 
-PlacementRequest EngineChoice::wantedPlacement() const
+PlacementRequest EngineChoice::placementRequest() const
 {
     const auto& settings = m_context.settings;
     PlacementRequest wanted { .service = m_request.service, .excluded = m_failed, .version = m_rollout.next() };
     if (!m_failed.empty())
-        wanted.zonesToLeave.push_back(m_failed.back()->entry().availabilityZone);
+        wanted.zonesToAvoid.push_back(m_failed.back()->entry().availabilityZone);
     if (m_context.has(Policy::PromptPreference))
         wanted.promptId = m_request.fields.promptId;
     wanted.preference = m_request.fields.lastEventId ? settings.returningPreference : settings.promptPreference;
@@ -130,45 +130,45 @@
 
 void EngineChoice::choose(const Callback& callback)
 {
-    if (survey(callback))
+    if (probeLoad(callback))
         return;
     const auto now = m_context.now();
-    auto engine = m_context.placement.choose(wantedPlacement(), now);
+    auto engine = m_context.placement.choose(placementRequest(), now);
     if (!engine && !m_failed.empty())
         engine = m_context.placement.choose(
             { .service = m_request.service, .version = m_rollout.next(), .mustBeSound = true }, now);
     callback(engine);
 }
 
-bool EngineChoice::survey(const Callback& callback)
+bool EngineChoice::probeLoad(const Callback& callback)
 {
     const auto* service = m_context.configuration->findService(m_request.service);
     // An engine that may have the prompt cached is better than any other.
     if (!m_context.has(Policy::LoadSurvey) || !service || !service->isEngine || m_request.fields.lastEventId)
         return false;
     // A probe may count as a request at a rate-limited engine.
-    auto sound = wantedPlacement();
-    sound.mustBeSound = true;
-    sound.limited = LimitedEndpoints::LeftOut;
-    const auto engines = m_context.placement.candidates(sound, m_context.settings.surveySize, m_context.now());
+    auto healthy = placementRequest();
+    healthy.mustBeSound = true;
+    healthy.limited = LimitedEndpoints::LeftOut;
+    const auto engines = m_context.placement.candidates(healthy, m_context.settings.surveySize, m_context.now());
     if (engines.size() < 2)
         return false;
-    m_survey = EngineSurvey::start(m_context, engines, [weak = weak_from_this(), callback](const Engines& answered) {
+    m_loadProbe = EngineSurvey::start(m_context, engines, [weak = weak_from_this(), callback](const Engines& answered) {
         if (const auto self = weak.lock())
-            self->surveyed(answered, callback);
+            self->onLoadProbed(answered, callback);
     });
     return true;
 }
 
-void EngineChoice::surveyed(const Engines& answered, const Callback& callback)
+void EngineChoice::onLoadProbed(const Engines& answered, const Callback& callback)
 {
-    m_survey.reset();
+    m_loadProbe.reset();
     const EngineWork work { m_request.fields.promptTokens, m_request.fields.maxAnswerTokens };
     const auto pace = m_context.pace(m_request.service).engine();
     const auto now = m_context.now();
     auto engine = m_context.placement.chooseReported(answered, work, pace, now);
     if (!engine)
-        engine = m_context.placement.choose(wantedPlacement(), now);
+        engine = m_context.placement.choose(placementRequest(), now);
     if (engine)
         logChoice(*engine, answered.size(), forecastDelay(work, *engine, pace));
     callback(engine);
@@ -190,7 +190,7 @@
         .write();
 }
 
-void EngineChoice::cancel() { m_survey.reset(); }
+void EngineChoice::cancel() { m_loadProbe.reset(); }
 
 std::shared_ptr<RelayEndpoint> EngineChoice::copyHolderFor(const RelayEndpoint& engine) const
 {
@@ -200,10 +200,10 @@
         return nullptr;
     const PlacementRequest wanted { .service = m_request.service,
         .excluded = m_failed,
-        .zonesToLeave = { engine.entry().availabilityZone },
+        .zonesToAvoid = { engine.entry().availabilityZone },
         .version = m_rollout.forCopies(engine),
         .mustBeSound = true,
-        .limited = LimitedEndpoints::NotSent };
+        .limited = LimitedEndpoints::Unrestricted };
     return m_context.placement.choose(wanted, m_context.now());
 }
 
@@ -213,7 +213,7 @@
     if (isFromCopy)
         return m_request.route->longestPause / 2;
     const auto now = m_context.now();
-    auto other = wantedPlacement();
+    auto other = placementRequest();
     other.mustBeSound = true;
     other.limited = LimitedEndpoints::LeftOut;
     if (m_context.placement.choose(other, now))
--- a/src/relay/EngineChoice.h
+++ b/src/relay/EngineChoice.h
@@ -30,7 +30,7 @@
 struct RunLocation;
 struct StreamRun;
 
-struct RunPlace {
+struct RunTarget {
     std::shared_ptr<RelayEndpoint> engine;
     CopySource copy;
 };
@@ -52,7 +52,7 @@
     void forgetLocation() const;
 
     // The engine that holds the copy, if it is healthy.
-    std::optional<RunPlace> placeOfCopy() const;
+    std::optional<RunTarget> placeOfCopy() const;
     // The copy is named after the attempt whose KV cache it holds.
     void setCopy(std::shared_ptr<RelayEndpoint> holder, std::string name);
     void forgetCopy() { m_copyHolder.reset(); }
@@ -78,14 +78,14 @@
     EngineChoice(RelayContext&, const RelayRequest&, RolloutPart&);
     // Null where VMs do not share run locations.
     RunLocations* runLocations() const;
-    void earlierRunFound(const std::optional<RunLocation>&);
+    void onEarlierRunFound(const std::optional<RunLocation>&);
     // True unless the engine is shutting down, avoided, backing off, out of permits or in a failing zone.
-    bool isSound(const RelayEndpoint&) const;
+    bool isHealthy(const RelayEndpoint&) const;
     // The placement for a run that has to prefill the prompt.
-    PlacementRequest wantedPlacement() const;
+    PlacementRequest placementRequest() const;
     // Probes the load of the candidate engines; returns false if there is no choice to make.
-    bool survey(const Callback&);
-    void surveyed(const Engines& answered, const Callback&);
+    bool probeLoad(const Callback&);
+    void onLoadProbed(const Engines& answered, const Callback&);
     void logChoice(const RelayEndpoint&, std::size_t answered, Milliseconds forecast) const;
 
     RelayContext& m_context;
@@ -96,7 +96,7 @@
     std::shared_ptr<RelayEndpoint> m_copyHolder;
     std::string m_copyName;
     // Set while engines are probed for the next run.
-    std::shared_ptr<EngineSurvey> m_survey;
+    std::shared_ptr<EngineSurvey> m_loadProbe;
 };
 
 } // namespace lupinknot::internal
--- a/src/relay/EngineForecast.cpp
+++ b/src/relay/EngineForecast.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 // On average, half of a prompt in prefill is still to be processed.
-constexpr double unreadShare = 0.5;
+constexpr double remainingPrefillShare = 0.5;
 // Share of the prefill time that each other run at the engine loses: it continues between the chunks at a fifth of its
 // pace or less.
-constexpr double slowedShare = 0.85;
+constexpr double slowdownShare = 0.85;
 // Share of the engine's memory that may be planned for; the rest covers answers that exceed their stated maximum and
 // prompts that other VMs send at the same time.
 constexpr double plannedMemoryShare = 0.95;
@@ -29,27 +29,28 @@
 
 double tokensOf(const EngineWork& work, const EnginePace& pace)
 {
-    return work.promptTokens > 0 ? static_cast<double>(work.promptTokens) : pace.usualPromptTokens;
+    return work.promptTokens > 0 ? static_cast<double>(work.promptTokens) : pace.typicalPromptTokens;
 }
 
 } // namespace
 
-Milliseconds readTime(const EngineWork& work, const EnginePace& pace)
+Milliseconds prefillTime(const EngineWork& work, const EnginePace& pace)
 {
     return Milliseconds { static_cast<std::int64_t>(tokensOf(work, pace) * pace.readTimePerToken) };
 }
 
 Milliseconds forecastDelay(
-    const EngineWork& work, const EngineReport& report, std::uint32_t ownPromptsBeingRead, const EnginePace& pace)
+    const EngineWork& work, const EngineReport& report, std::uint32_t ownPromptsInPrefill, const EnginePace& pace)
 {
-    const auto ownRead = tokensOf(work, pace) * pace.readTimePerToken;
-    const auto usualRead = pace.usualPromptTokens * pace.readTimePerToken;
+    const auto ownPrefill = tokensOf(work, pace) * pace.readTimePerToken;
+    const auto typicalPrefill = pace.typicalPromptTokens * pace.readTimePerToken;
     // A prompt of this VM that the report lacks was sent after the report.
     const auto reported = report.promptsBeingRead + report.promptsWaiting;
-    const double unreported = ownPromptsBeingRead > reported ? ownPromptsBeingRead - reported : 0;
-    const auto wait = (unreadShare * report.promptsBeingRead + report.promptsWaiting + unreported) * usualRead;
-    const auto slowed = slowedShare * report.generating * ownRead;
-    const auto sum = std::min(wait + ownRead + slowed, static_cast<double>(longestDelay.count()));
+    const double unreported = ownPromptsInPrefill > reported ? ownPromptsInPrefill - reported : 0;
+    const auto wait
+        = (remainingPrefillShare * report.promptsBeingRead + report.promptsWaiting + unreported) * typicalPrefill;
+    const auto slowed = slowdownShare * report.generating * ownPrefill;
+    const auto sum = std::min(wait + ownPrefill + slowed, static_cast<double>(longestDelay.count()));
     const Milliseconds delay { static_cast<std::int64_t>(sum) };
     return hasRoom(work, report) ? delay : std::min(delay + noRoomDelay, longestDelay);
 }
--- a/src/relay/EngineForecast.h
+++ b/src/relay/EngineForecast.h
@@ -25,17 +25,17 @@
     // Milliseconds per prompt token for an engine that prefills nothing else.
     double readTimePerToken { 0.2 };
     // Tokens of a typical prompt.
-    double usualPromptTokens { 5000 };
+    double typicalPromptTokens { 5000 };
 };
 
 // Prefill time of the prompt at an idle engine.
-Milliseconds readTime(const EngineWork&, const EnginePace&);
+Milliseconds prefillTime(const EngineWork&, const EnginePace&);
 
 // The delay of the request's own first event plus the sum of the delays of the other runs at the engine. An engine
 // without memory for the request gets a large extra delay. Prompts that this VM has sent to the engine count even when
 // the report is older and lacks them.
 Milliseconds forecastDelay(
-    const EngineWork&, const EngineReport&, std::uint32_t ownPromptsBeingRead, const EnginePace&);
+    const EngineWork&, const EngineReport&, std::uint32_t ownPromptsInPrefill, const EnginePace&);
 // The same for an endpoint by its newest report; one that has never reported counts as idle.
 Milliseconds forecastDelay(const EngineWork&, const RelayEndpoint&, const EnginePace&);
 
--- a/src/relay/EngineSurvey.cpp
+++ b/src/relay/EngineSurvey.cpp
@@ -13,11 +13,11 @@
 std::shared_ptr<EngineSurvey> EngineSurvey::start(RelayContext& context, const Engines& engines, Callback callback)
 {
     std::shared_ptr<EngineSurvey> survey(new EngineSurvey(context, std::move(callback)));
-    survey->m_open = engines.size();
+    survey->m_pending = engines.size();
     for (const auto& engine : engines)
         survey->ask(engine);
     survey->m_timer.expires_after(context.settings.surveyTimeout);
-    survey->awaitRest();
+    survey->awaitRemaining();
     return survey;
 }
 
@@ -34,7 +34,7 @@
     const auto& settings = m_context.settings;
     const auto connection = engine->takeConnection(m_context.now(), settings.maxRest, settings.restMargin);
     m_context.metrics.engineProbes.Increment();
-    m_questions.push_back(HttpQuestion::ask(m_context.ioContext, connection, m_context.protocol.encodeLoadQuery(),
+    m_probes.push_back(HttpQuestion::ask(m_context.ioContext, connection, m_context.protocol.encodeLoadQuery(),
         settings.surveyTimeout, [weak = weak_from_this(), engine, connection](const HttpOutcome& outcome) {
             if (const auto self = weak.lock())
                 self->answered(engine, connection, outcome);
@@ -60,18 +60,18 @@
             .number("status", outcome.answer ? outcome.answer->status : 0)
             .write();
     }
-    --m_open;
-    if (m_open == 0) {
+    --m_pending;
+    if (m_pending == 0) {
         end();
         return;
     }
     // The remaining engines get as much time again as this one took.
     m_timer.expires_after(
         std::min(std::max(now - m_startedAt, m_context.settings.surveyShortestWait), m_context.settings.surveyTimeout));
-    awaitRest();
+    awaitRemaining();
 }
 
-void EngineSurvey::awaitRest()
+void EngineSurvey::awaitRemaining()
 {
     m_timer.async_wait([weak = weak_from_this()](boost::system::error_code error) {
         const auto self = weak.lock();
@@ -84,7 +84,7 @@
 {
     const auto self = shared_from_this();
     m_timer.cancel();
-    m_questions.clear();
+    m_probes.clear();
     if (const auto callback = std::exchange(m_callback, nullptr))
         callback(m_answered);
 }
--- a/src/relay/EngineSurvey.h
+++ b/src/relay/EngineSurvey.h
@@ -1,6 +1,6 @@
 // Probes the load of some engines before one of them is chosen.
 //
-//     m_survey = EngineSurvey::start(context, engines, [this] { choose(); });
+//     m_loadProbe = EngineSurvey::start(context, engines, [this] { choose(); });
 //
 // The reports are stored with the endpoints. The probe ends when all engines have answered, or when the remaining ones
 // take much longer than the others. An engine that does not answer should not be sent a prompt.
@@ -34,15 +34,15 @@
     EngineSurvey(RelayContext&, Callback);
     void ask(const std::shared_ptr<RelayEndpoint>&);
     void answered(const std::shared_ptr<RelayEndpoint>&, const std::shared_ptr<ClientConnection>&, const HttpOutcome&);
-    void awaitRest();
+    void awaitRemaining();
     void end();
 
     RelayContext& m_context;
     Callback m_callback;
     const Milliseconds m_startedAt;
-    std::vector<std::shared_ptr<HttpQuestion>> m_questions;
+    std::vector<std::shared_ptr<HttpQuestion>> m_probes;
     Engines m_answered;
-    std::size_t m_open { 0 };
+    std::size_t m_pending { 0 };
     boost::asio::steady_timer m_timer;
 };
 
--- a/src/relay/Estimate.h
+++ b/src/relay/Estimate.h
@@ -17,8 +17,8 @@
 
 class Estimate {
 public:
-    explicit Estimate(double stated)
-        : m_stated(stated)
+    explicit Estimate(double defaultValue)
+        : m_defaultValue(defaultValue)
     {
     }
 
@@ -28,18 +28,18 @@
     double quantile(double share) const;
     std::size_t sampleCount() const { return m_count; }
     // True once there are enough samples.
-    bool isKnown() const { return m_count >= fewestSamples; }
+    bool isKnown() const { return m_count >= minSamples; }
     // When the newest sample was added; 0 when there is none.
     Milliseconds newestAt() const { return m_newestAt; }
 
     // Samples needed before the default value is replaced.
-    static constexpr std::size_t fewestSamples = 10;
+    static constexpr std::size_t minSamples = 10;
     // Samples kept; older ones are overwritten.
-    static constexpr std::size_t mostSamples = 64;
+    static constexpr std::size_t maxSamples = 64;
 
 private:
-    const double m_stated;
-    std::array<double, mostSamples> m_samples {};
+    const double m_defaultValue;
+    std::array<double, maxSamples> m_samples {};
     std::size_t m_count { 0 };
     std::size_t m_next { 0 };
     Milliseconds m_newestAt { 0 };
--- a/src/relay/Placement.cpp
+++ b/src/relay/Placement.cpp
@@ -14,30 +14,30 @@
 constexpr double randomCost = 0.3;
 // Costs of an engine that has reported its load, in prefill times of the prompt: the surcharge for another zone, and
 // the random spread between VMs that read the same reports, so that they do not all choose the same engine.
-constexpr double otherZoneReads = 0.3;
-constexpr double randomReads = 0.3;
+constexpr double otherZonePrefills = 0.3;
+constexpr double randomPrefills = 0.3;
 // A rate-limited endpoint is overloaded, so that it gets work only when the other endpoints have this many more calls,
 // scaled by their share of all. When its limit has not been confirmed for a while, it is treated like the others,
 // within its limit, because only its answers show that the limit has ended.
 constexpr double limitedCost = 2;
-constexpr Milliseconds limitBelievedFor { 2000 };
+constexpr Milliseconds limitTrustedFor { 2000 };
 // A recently failed endpoint is worse than any load, as is one in a failing zone; one that is shutting down is the last
 // resort.
 constexpr double failingZoneCost = 1000;
 constexpr double avoidedCost = 3000;
-constexpr double zoneToLeaveCost = 10000;
+constexpr double zoneToAvoidCost = 10000;
 constexpr double leavingCost = 100000;
 
 // True unless the endpoint's rate limit excludes it.
-bool isOpen(const RelayEndpoint& endpoint, LimitedEndpoints wanted, Milliseconds now)
+bool isAllowedByLimit(const RelayEndpoint& endpoint, LimitedEndpoints wanted, Milliseconds now)
 {
     return !endpoint.isLimited() || (wanted == LimitedEndpoints::Admitted && now >= endpoint.noPermitUntil());
 }
 
 // True while the endpoint is believed to benefit from less work.
-bool isInNeed(const RelayEndpoint& endpoint, Milliseconds now)
+bool isOverloaded(const RelayEndpoint& endpoint, Milliseconds now)
 {
-    return endpoint.isLimited() && now - endpoint.limit().heardAt() < limitBelievedFor;
+    return endpoint.isLimited() && now - endpoint.limit().heardAt() < limitTrustedFor;
 }
 
 } // namespace
@@ -58,12 +58,13 @@
 std::vector<std::shared_ptr<RelayEndpoint>> Placement::candidates(
     const PlacementRequest& request, std::size_t count, Milliseconds now)
 {
-    const auto* const favourite = preferred(request, now);
+    const auto* const preferredEndpoint = preferred(request, now);
     std::vector<Candidate> found;
     for (const auto& endpoint : m_directory.endpointsOf(request.service)) {
         if (!isEligible(*endpoint, request, now))
             continue;
-        const auto sum = cost(*endpoint, request, now) - (endpoint.get() == favourite ? request.preference : 0.0);
+        const auto sum
+            = cost(*endpoint, request, now) - (endpoint.get() == preferredEndpoint ? request.preference : 0.0);
         if (!request.mustBeSound || sum < failingZoneCost)
             found.push_back({ sum, endpoint });
     }
@@ -79,15 +80,15 @@
 // Removes the candidates that their limit excludes, and adds a surcharge to those that benefit from less work.
 void Placement::applyLimits(std::vector<Candidate>& found, LimitedEndpoints wanted, Milliseconds now)
 {
-    if (wanted == LimitedEndpoints::NotSent)
+    if (wanted == LimitedEndpoints::Unrestricted)
         return;
     const auto isFree = [](const Candidate& candidate) { return !candidate.endpoint->isLimited(); };
     const auto freeCount = std::count_if(found.begin(), found.end(), isFree);
     const auto extra = limitedCost * static_cast<double>(freeCount) / static_cast<double>(found.size());
-    std::erase_if(
-        found, [wanted, now](const Candidate& candidate) { return !isOpen(*candidate.endpoint, wanted, now); });
+    std::erase_if(found,
+        [wanted, now](const Candidate& candidate) { return !isAllowedByLimit(*candidate.endpoint, wanted, now); });
     for (auto& candidate : found) {
-        if (isInNeed(*candidate.endpoint, now))
+        if (isOverloaded(*candidate.endpoint, now))
             candidate.cost += extra;
     }
 }
@@ -102,7 +103,7 @@
     return best;
 }
 
-bool Placement::isInQuestion(const RelayEndpoint& endpoint, const PlacementRequest& request)
+bool Placement::isCandidate(const RelayEndpoint& endpoint, const PlacementRequest& request)
 {
     const bool isExcluded = std::any_of(request.excluded.begin(), request.excluded.end(),
         [&endpoint](const auto& excluded) { return excluded.get() == &endpoint; });
@@ -111,14 +112,14 @@
 
 bool Placement::isEligible(const RelayEndpoint& endpoint, const PlacementRequest& request, Milliseconds now) const
 {
-    return endpoint.mayTakeWork(now, m_settings.leavingEndpointGrace) && isInQuestion(endpoint, request);
+    return endpoint.mayTakeWork(now, m_settings.leavingEndpointGrace) && isCandidate(endpoint, request);
 }
 
 std::optional<EndpointOpening> Placement::nextOpening(const PlacementRequest& request, Milliseconds now) const
 {
     std::optional<EndpointOpening> next;
     for (const auto& endpoint : m_directory.endpointsOf(request.service)) {
-        if (endpoint->isLeaving() || !isInQuestion(*endpoint, request))
+        if (endpoint->isLeaving() || !isCandidate(*endpoint, request))
             continue;
         const bool isResting = endpoint->isResting(now);
         // An endpoint that is only full or unreachable may accept a request sooner.
@@ -136,14 +137,14 @@
 {
     std::shared_ptr<RelayEndpoint> best;
     double lowest = 0;
-    const auto unit = static_cast<double>(readTime(work, pace).count());
+    const auto unit = static_cast<double>(prefillTime(work, pace).count());
     for (const auto& engine : engines) {
         // The engine may have started to shut down while it was probed.
         if (!engine->mayTakeWork(now, m_settings.leavingEndpointGrace))
             continue;
-        auto delay = static_cast<double>(forecastDelay(work, *engine, pace).count()) + randomReads * unit * random();
+        auto delay = static_cast<double>(forecastDelay(work, *engine, pace).count()) + randomPrefills * unit * random();
         if (engine->entry().availabilityZone != m_settings.availabilityZone)
-            delay += otherZoneReads * unit;
+            delay += otherZonePrefills * unit;
         if (!best || delay < lowest) {
             best = engine;
             lowest = delay;
@@ -179,13 +180,13 @@
     double sum = endpoint.inFlight() + randomCost * random();
     if (zone != m_settings.availabilityZone)
         sum += otherZoneCost;
-    if (m_directory.isZoneAvoided(zone, now) || m_directory.isDoubtful(endpoint, now))
+    if (m_directory.isZoneAvoided(zone, now) || m_directory.isSuspected(endpoint, now))
         sum += failingZoneCost;
     if (endpoint.isAvoided(now))
         sum += avoidedCost;
-    const auto& left = request.zonesToLeave;
-    if (std::find(left.begin(), left.end(), zone) != left.end())
-        sum += zoneToLeaveCost;
+    const auto& toAvoid = request.zonesToAvoid;
+    if (std::find(toAvoid.begin(), toAvoid.end(), zone) != toAvoid.end())
+        sum += zoneToAvoidCost;
     if (endpoint.isLeaving())
         sum += leavingCost;
     return sum;
--- a/src/relay/Placement.h
+++ b/src/relay/Placement.h
@@ -28,7 +28,7 @@
 enum class LimitedEndpoints {
     Admitted, // Used with a surcharge; those without an available permit are left out.
     LeftOut, // Left out, for requests that are optional.
-    NotSent, // Used like any other endpoint: nothing is sent there.
+    Unrestricted, // Used like any other endpoint: nothing is sent there.
 };
 
 struct PlacementRequest {
@@ -36,7 +36,7 @@
     // Endpoints that this request has tried or is using.
     std::vector<std::shared_ptr<RelayEndpoint>> excluded;
     // Zones whose failure would hit the request again; endpoints there come last.
-    std::vector<std::string> zonesToLeave;
+    std::vector<std::string> zonesToAvoid;
     // Identifies the prompt; requests with the same id prefer the same endpoint of a zone, on every VM.
     std::string promptId;
     // How many more calls than others the preferred endpoint may have in flight.
@@ -77,7 +77,7 @@
     // The preferred endpoint among the healthy ones of this VM's zone, or null.
     const RelayEndpoint* preferred(const PlacementRequest&, Milliseconds now) const;
     // True unless the request excludes the endpoint, regardless of the endpoint's state.
-    static bool isInQuestion(const RelayEndpoint&, const PlacementRequest&);
+    static bool isCandidate(const RelayEndpoint&, const PlacementRequest&);
     // True when the request may be sent to the endpoint, provided that a permit is available.
     bool isEligible(const RelayEndpoint&, const PlacementRequest&, Milliseconds now) const;
     double cost(const RelayEndpoint&, const PlacementRequest&, Milliseconds now);
--- a/src/relay/ReadingMark.h
+++ b/src/relay/ReadingMark.h
@@ -11,9 +11,9 @@
     explicit ReadingMark(std::shared_ptr<RelayEndpoint> endpoint)
         : m_endpoint(std::move(endpoint))
     {
-        m_endpoint->readingStarted();
+        m_endpoint->prefillStarted();
     }
-    ~ReadingMark() { m_endpoint->readingEnded(); }
+    ~ReadingMark() { m_endpoint->prefillEnded(); }
     ReadingMark(const ReadingMark&) = delete;
     ReadingMark& operator=(const ReadingMark&) = delete;
 
--- a/src/relay/RelayEndpoint.cpp
+++ b/src/relay/RelayEndpoint.cpp
@@ -36,8 +36,8 @@
     while (!m_kept.empty()) {
         const auto kept = std::move(m_kept.back());
         m_kept.pop_back();
-        const auto promised = kept.connection->peerIdleTimeout();
-        const auto longest = promised ? std::min(maxRest, *promised - margin) : maxRest;
+        const auto announced = kept.connection->peerIdleTimeout();
+        const auto longest = announced ? std::min(maxRest, *announced - margin) : maxRest;
         if (kept.connection->isIdle() && now - kept.since <= longest)
             return kept.connection;
         kept.connection->close();
@@ -100,7 +100,7 @@
 void RelayEndpoint::noteSignals(const AnswerFields& fields, Milliseconds now)
 {
     const auto& rest = fields.rest;
-    if (!rest.unreadable.empty() && !std::exchange(m_isUnreadableRestSaid, true))
+    if (!rest.unreadable.empty() && !std::exchange(m_hasLoggedUnreadableRest, true))
         LogEvent("endpoint.rest-unreadable").text("endpoint", m_entry.id).text("value", rest.unreadable).write();
     const bool wasResting = m_signals.isResting(now);
     if (rest.time && m_signals.noteRest(*rest.time, now))
@@ -133,7 +133,7 @@
 bool RelayEndpoint::noteLimit(const AnsweredLimit& answered, Milliseconds sentAt, Milliseconds now)
 {
     if (!answered.unreadable.empty()) {
-        if (!std::exchange(m_isUnreadableLimitSaid, true))
+        if (!std::exchange(m_hasLoggedUnreadableLimit, true))
             LogEvent("endpoint.limit-unreadable")
                 .text("endpoint", m_entry.id)
                 .text("limit", answered.unreadable)
@@ -141,16 +141,16 @@
         return false;
     }
     const auto change = m_limit.noteAnswer(answered.perSecond, sentAt, now);
-    limitChanged(change, "answer");
+    logLimitChange(change, "answer");
     return change != LimitChange::None;
 }
 
 void RelayEndpoint::noteLimitNews(const LimitNews& news, Milliseconds now)
 {
-    limitChanged(m_limit.noteNews(news.perSecond, now - news.age), "vm");
+    logLimitChange(m_limit.noteNews(news.perSecond, now - news.age), "vm");
 }
 
-void RelayEndpoint::limitChanged(LimitChange change, std::string_view heardFrom) const
+void RelayEndpoint::logLimitChange(LimitChange change, std::string_view heardFrom) const
 {
     if (change == LimitChange::None || change == LimitChange::Confirmed)
         return;
--- a/src/relay/RelayEndpoint.h
+++ b/src/relay/RelayEndpoint.h
@@ -43,8 +43,8 @@
 
     // Prompts of this VM that the endpoint is prefilling; see ReadingMark.
     unsigned promptsBeingRead() const { return m_promptsBeingRead; }
-    void readingStarted() { ++m_promptsBeingRead; }
-    void readingEnded() { --m_promptsBeingRead; }
+    void prefillStarted() { ++m_promptsBeingRead; }
+    void prefillEnded() { --m_promptsBeingRead; }
     // The last load report and its time; null when the endpoint has never been probed.
     void noteReport(const EngineReport& report, Milliseconds now) { m_report = TimedReport { report, now }; }
     const EngineReport* report() const { return m_report ? &m_report->report : nullptr; }
@@ -93,7 +93,7 @@
         Milliseconds since;
     };
 
-    void limitChanged(LimitChange, std::string_view heardFrom) const;
+    void logLimitChange(LimitChange, std::string_view heardFrom) const;
 
     struct TimedReport {
         EngineReport report;
@@ -111,8 +111,8 @@
     HeardLimit m_limit;
     Milliseconds m_noPermitUntil { 0 };
     // Unreadable values are logged only once each.
-    bool m_isUnreadableLimitSaid { false };
-    bool m_isUnreadableRestSaid { false };
+    bool m_hasLoggedUnreadableLimit { false };
+    bool m_hasLoggedUnreadableRest { false };
     std::optional<Milliseconds> m_leavingSince;
     bool m_isRemoved { false };
     Milliseconds m_avoidUntil { 0 };
--- a/src/relay/ServicePace.h
+++ b/src/relay/ServicePace.h
@@ -34,7 +34,7 @@
     // The input of engine forecasts: the median prompt, and the pace of requests that had an engine to themselves.
     EnginePace engine() const
     {
-        return { readTimePerToken.quantile(undisturbedShare), promptTokens.quantile(middleShare) };
+        return { readTimePerToken.quantile(undisturbedQuantile), promptTokens.quantile(median) };
     }
 
     // How long a run may be silent before its engine is probed for liveness. While an engine prefills a prompt, its
@@ -43,41 +43,41 @@
     {
         if (!eventInterval.isKnown())
             return setting;
-        return milliseconds(intervalsOfSilence * eventInterval.quantile(undisturbedShare));
+        return milliseconds(silentIntervals * eventInterval.quantile(undisturbedQuantile));
     }
 
     // The same before a run's first event, while its prompt is prefilled or queued.
     Milliseconds silenceBeforeFirstEvent(double tokens) const
     {
-        return milliseconds(patienceShare * readTimePerToken.quantile(mostShare) * tokens);
+        return milliseconds(firstEventTolerance * readTimePerToken.quantile(upperQuartile) * tokens);
     }
 
     // The median time to a stream's first event for a prompt of so many tokens.
     Milliseconds usualFirstEvent(double tokens) const
     {
-        return milliseconds(readTimePerToken.quantile(middleShare) * tokens);
+        return milliseconds(readTimePerToken.quantile(median) * tokens);
     }
 
     // Time after which an unanswered call is hedged.
-    Milliseconds hedgeDelay() const { return milliseconds(callTime.quantile(hedgedShare)); }
+    Milliseconds hedgeDelay() const { return milliseconds(callTime.quantile(hedgeQuantile)); }
 
     // True if the service sends headers when it accepts a request, long before the engine starts it.
-    bool sendsHeadsEarly() const { return headLead.quantile(middleShare) > longestLead; }
+    bool sendsHeadsEarly() const { return headLead.quantile(median) > maxHeaderLead; }
 
     // The median time of a call.
-    Milliseconds usualCallTime() const { return milliseconds(callTime.quantile(middleShare)); }
+    Milliseconds usualCallTime() const { return milliseconds(callTime.quantile(median)); }
 
 private:
     static Milliseconds milliseconds(double time) { return Milliseconds { static_cast<std::int64_t>(time) }; }
 
-    static constexpr double longestLead = 100;
-    static constexpr double intervalsOfSilence = 5.5;
-    static constexpr double patienceShare = 1.5;
-    static constexpr double mostShare = 0.75;
+    static constexpr double maxHeaderLead = 100;
+    static constexpr double silentIntervals = 5.5;
+    static constexpr double firstEventTolerance = 1.5;
+    static constexpr double upperQuartile = 0.75;
     // One call in twenty is hedged.
-    static constexpr double hedgedShare = 0.95;
-    static constexpr double undisturbedShare = 0.1;
-    static constexpr double middleShare = 0.5;
+    static constexpr double hedgeQuantile = 0.95;
+    static constexpr double undisturbedQuantile = 0.1;
+    static constexpr double median = 0.5;
 };
 
 } // namespace lupinknot::internal
--- a/src/relay/StartupQueue.cpp
+++ b/src/relay/StartupQueue.cpp
@@ -8,9 +8,9 @@
 
 namespace lupinknot::internal {
 
-StartupQueue::StartupQueue(RelayContext& context, Released released)
+StartupQueue::StartupQueue(RelayContext& context, ReleaseCallback onReleased)
     : m_context(context)
-    , m_released(std::move(released))
+    , m_onReleased(std::move(onReleased))
 {
 }
 
@@ -21,13 +21,13 @@
     auto timer = std::make_unique<boost::asio::steady_timer>(m_context.ioContext);
     timer->expires_after(until - m_context.now());
     timer->async_wait([this, request](boost::system::error_code error) {
-        if (!error && take(request.exchange))
-            m_released(request);
+        if (!error && remove(request.exchange))
+            m_onReleased(request);
     });
     m_held.push_back({ request, std::move(timer) });
     request.exchange->onGone([this, weak = std::weak_ptr(request.exchange)] {
         if (const auto exchange = weak.lock())
-            take(exchange);
+            remove(exchange);
     });
     return true;
 }
@@ -37,11 +37,11 @@
     // A request that still lacks something is held again.
     for (const auto& held : std::exchange(m_held, {})) {
         m_context.waitingRoom.leave(held.request.exchange->request().body.size());
-        m_released(held.request);
+        m_onReleased(held.request);
     }
 }
 
-bool StartupQueue::take(const std::shared_ptr<HttpExchange>& exchange)
+bool StartupQueue::remove(const std::shared_ptr<HttpExchange>& exchange)
 {
     const auto found = std::find_if(
         m_held.begin(), m_held.end(), [&exchange](const Held& held) { return held.request.exchange == exchange; });
--- a/src/relay/StartupQueue.h
+++ b/src/relay/StartupQueue.h
@@ -28,9 +28,9 @@
         Milliseconds arrivedAt { 0 };
     };
     // Called with each request that stops waiting.
-    using Released = std::function<void(const Request&)>;
+    using ReleaseCallback = std::function<void(const Request&)>;
 
-    StartupQueue(RelayContext&, Released);
+    StartupQueue(RelayContext&, ReleaseCallback);
 
     // Holds the request until the given time or until release(). False when there is no room for it.
     bool hold(const Request&, Milliseconds until);
@@ -44,10 +44,10 @@
     };
 
     // Removes a request; false when it has been removed already.
-    bool take(const std::shared_ptr<HttpExchange>&);
+    bool remove(const std::shared_ptr<HttpExchange>&);
 
     RelayContext& m_context;
-    const Released m_released;
+    const ReleaseCallback m_onReleased;
     std::list<Held> m_held;
 };
 
--- a/test/EndpointDirectoryTest.cpp
+++ b/test/EndpointDirectoryTest.cpp
@@ -58,7 +58,7 @@
     STRCMP_EQUAL("none", chosen().c_str());
 }
 
-TEST(EndpointDirectory, AnEndpointWhoseEntryHasGoneIsALastResortForAShortWhile)
+TEST(EndpointDirectory, ARemovedEndpointIsALastResortDuringTheGraceTime)
 {
     directory->replaceAll({ entry("e1", 1) }, now);
     directory->remove("e1", now);
@@ -68,7 +68,7 @@
     STRCMP_EQUAL("none", chosen().c_str());
 }
 
-TEST(EndpointDirectory, ADrainingEndpointGetsNoWorkAfterItsEntryHasGoneEither)
+TEST(EndpointDirectory, GivesNoWorkToADrainingEndpointAfterItsRemoval)
 {
     directory->replaceAll({ entry("e1", 1) }, now);
     drain(entry("e1", 1));
@@ -76,7 +76,7 @@
     STRCMP_EQUAL("none", chosen().c_str());
 }
 
-TEST(EndpointDirectory, TakesAnEndpointBackWhoseEntryHadLapsed)
+TEST(EndpointDirectory, ListsAnEndpointAgainAfterItsEntryExpired)
 {
     directory->replaceAll({ entry("e1", 1) }, now);
     directory->remove("e1", now);
@@ -86,7 +86,7 @@
     STRCMP_EQUAL("e1", chosen().c_str());
 }
 
-TEST(EndpointDirectory, TakesEndpointsThatAreMissingFromAWholeListForGone)
+TEST(EndpointDirectory, RemovesEndpointsThatAFullListLacks)
 {
     directory->replaceAll({ entry("e1", 1), entry("e2", 2) }, now);
     directory->replaceAll({ entry("e2", 2) }, now);
@@ -96,7 +96,7 @@
     LONGS_EQUAL(1, directory->size());
 }
 
-TEST(EndpointDirectory, AnEndpointThatHasMovedIsNotEndedByANewOneAtItsOldAddress)
+TEST(EndpointDirectory, AMovedEndpointIsNotReplacedAtItsOldAddress)
 {
     directory->replaceAll({ entry("e1", 1) }, now);
     directory->upsert(entry("e1", 2), now);
@@ -107,14 +107,14 @@
     CHECK_TEXT(directory->find("e1") == nullptr, "e1 must be replaced at its latest address");
 }
 
-TEST(EndpointDirectory, ANewIncarnationAtAnAddressEndsTheOneBeforeIt)
+TEST(EndpointDirectory, ANewIncarnationAtAnAddressReplacesThePreviousOne)
 {
     directory->replaceAll({ entry("old", 1), entry("other", 2) }, now);
     directory->upsert(entry("new", 1), now);
     LONGS_EQUAL(2, directory->size());
 }
 
-TEST(EndpointDirectory, FindsWhoeverIsListedAtAnAddress)
+TEST(EndpointDirectory, FindsTheEndpointListedAtAnAddress)
 {
     const SocketAddress address { "127.0.0.1", 1 };
     directory->upsert(entry("e1", 1), now);
@@ -151,7 +151,7 @@
 }
 
 // Runs were moved to engines of a zone that had just failed, whose entries were still listed, and had to start over.
-TEST(EndpointDirectory, DoubtsEndpointsOfAZoneThatFailedUntilTheyShowLife)
+TEST(EndpointDirectory, SuspectsEndpointsOfAFailedZoneUntilTheyAnswer)
 {
     directory->replaceAll({ entry("e1", 1), entry("e2", 2), entry("e3", 3), entry("e4", 4) }, now);
     now += Milliseconds { 10 };
@@ -161,18 +161,18 @@
     now += settings.avoidZone + Milliseconds { 1 };
     endpoints[3]->noteLife(now);
     directory->upsert(entry("e5", 5), now);
-    CHECK(directory->isDoubtful(*endpoints[2], now));
+    CHECK(directory->isSuspected(*endpoints[2], now));
     CHECK_FALSE_TEXT(
-        directory->isDoubtful(*endpoints[3], now), "an endpoint that has answered since the failure is alive");
-    CHECK_FALSE_TEXT(directory->isDoubtful(*directory->find("e5"), now),
+        directory->isSuspected(*endpoints[3], now), "an endpoint that has answered since the failure is alive");
+    CHECK_FALSE_TEXT(directory->isSuspected(*directory->find("e5"), now),
         "an endpoint that was first listed after the failure is alive");
     now += settings.doubtAfterZoneFailure;
-    CHECK_FALSE(directory->isDoubtful(*endpoints[2], now));
+    CHECK_FALSE(directory->isSuspected(*endpoints[2], now));
 }
 
 // With one log line per endpoint, a zone of 64 engines that fails and returns would write at least 128 lines on each
 // VM.
-TEST(EndpointDirectory, AChangeOfTheListIsToldAsOne)
+TEST(EndpointDirectory, CountsAChangeOfTheListAsAWhole)
 {
     std::vector<EndpointEntry> zone;
     std::vector<EndpointChange> loss;
@@ -195,7 +195,7 @@
 
 // An engine that returned after a crash and was withdrawn 0.4 s later was listed and removed within one answer of the
 // store. It stayed in use and received a request 3.3 s after it had left.
-TEST(EndpointDirectory, AnEndpointThatComesAndGoesWithinOneChangeIsGone)
+TEST(EndpointDirectory, AnEndpointListedAndRemovedInOneChangeIsRemoved)
 {
     directory->replaceAll({ entry("e1", 1) }, now);
     directory->change({ { entry("new", 2), false }, { { .id = "new" }, true } }, now);
@@ -205,7 +205,7 @@
         STRCMP_EQUAL("e1", chosen().c_str());
 }
 
-TEST(EndpointDirectory, ChangesOfOneEndpointHoldInTheirOrder)
+TEST(EndpointDirectory, AppliesChangesOfOneEndpointInOrder)
 {
     directory->replaceAll({ entry("e1", 1), entry("e2", 2) }, now);
     directory->change({ { entry("e1", 1), false }, { entry("e1", 1), true } }, now);
@@ -215,7 +215,7 @@
 }
 
 // An endpoint may restart under the same id; it has then lost all state of its earlier runs.
-TEST(EndpointDirectory, ALaterStartUnderTheSameIdIsAnotherEndpoint)
+TEST(EndpointDirectory, ALaterIncarnationWithTheSameIdIsANewEndpoint)
 {
     auto first = entry("e1", 1);
     first.born = 100;
@@ -234,7 +234,7 @@
     STRCMP_EQUAL("e1", chosen().c_str());
 }
 
-TEST(EndpointDirectory, NewsOfAnEarlierStartThatComesLateChangesNothing)
+TEST(EndpointDirectory, IgnoresALateEntryOfAnEarlierIncarnation)
 {
     auto second = entry("e1", 1);
     second.born = 200;
@@ -249,7 +249,7 @@
     LONGS_EQUAL(1, present->entry().address.port);
 }
 
-TEST(EndpointDirectory, AnEntryThatDoesNotSayWhenItStartedIsOfTheSameStart)
+TEST(EndpointDirectory, AnEntryWithoutAStartTimeIsOfTheKnownIncarnation)
 {
     auto first = entry("e1", 1);
     first.born = 100;
@@ -261,7 +261,7 @@
 }
 
 // An entry from another writer may name a service of its own together with an endpoint's address.
-TEST(EndpointDirectory, AnEntryOfAServiceThatIsNotNamedTakesNoEndpointsAddress)
+TEST(EndpointDirectory, AnEntryOfAnUnknownServiceReplacesNoEndpoint)
 {
     directory->setServices([](const std::string& service) { return service == "s"; });
     directory->upsert(entry("e1", 1), now);
--- a/test/EngineForecastTest.cpp
+++ b/test/EngineForecastTest.cpp
@@ -16,48 +16,42 @@
     }
 };
 
-TEST(EngineForecast, AnEngineWithNothingToDoReadsThePromptAtItsPace)
+TEST(EngineForecast, AnIdleEnginePrefillsThePromptAtItsPace)
 {
     LONGS_EQUAL(1000, delay({}));
-    LONGS_EQUAL(1000, readTime(work, pace).count());
+    LONGS_EQUAL(1000, prefillTime(work, pace).count());
 }
 
-TEST(EngineForecast, PromptsThatAreReadOrWaitDelayTheRequest)
+TEST(EngineForecast, PromptsInPrefillOrQueuedDelayTheRequest)
 {
     LONGS_EQUAL_TEXT(1500, delay({ .promptsBeingRead = 1 }), "a prompt in prefill counts as half processed");
     LONGS_EQUAL(3500, delay({ .promptsBeingRead = 1, .promptsWaiting = 2 }));
 }
 
-TEST(EngineForecast, RunsBesideThePromptCountBecauseTheyAreSlowed)
-{
-    LONGS_EQUAL(1000 + 2 * 850, delay({ .generating = 2 }));
-}
+TEST(EngineForecast, CountsTheSlowdownOfOtherRuns) { LONGS_EQUAL(1000 + 2 * 850, delay({ .generating = 2 })); }
 
-TEST(EngineForecast, OwnPromptsThatTheReportDoesNotKnowYetCountOnce)
+TEST(EngineForecast, CountsOwnPromptsMissingFromTheReportOnce)
 {
     LONGS_EQUAL(2000, delay({}, 1));
     LONGS_EQUAL_TEXT(1500, delay({ .promptsBeingRead = 1 }, 1), "the report already contains this prompt");
 }
 
-TEST(EngineForecast, AnEngineWithoutRoomComesBehindAnyOther)
+TEST(EngineForecast, AnEngineWithoutMemoryComesLast)
 {
     const EngineReport full { .memoryUsed = 50000, .memoryTotal = 55000 };
     const EngineReport busy { .promptsBeingRead = 1, .promptsWaiting = 9, .generating = 3, .memoryTotal = 55000 };
     CHECK(delay(full) > delay(busy));
 }
 
-TEST(EngineForecast, SaysNothingAboutMemoryThatAnEngineDoesNotTell)
-{
-    LONGS_EQUAL(1000, delay({ .memoryUsed = 1000000000 }));
-}
+TEST(EngineForecast, IgnoresMemoryUseWhenTheTotalIsUnknown) { LONGS_EQUAL(1000, delay({ .memoryUsed = 1000000000 })); }
 
-TEST(EngineForecast, NoReportMakesAnEngineWorseThanABound)
+TEST(EngineForecast, TheForecastIsBoundedForAnyReport)
 {
     const auto absurd = delay({ 1000, 1000, 1000, 1000000000, 1 });
     CHECK(absurd > 0 && absurd <= 60000);
 }
 
-TEST(EngineForecast, AnUnknownPromptCountsAsAUsualOne)
+TEST(EngineForecast, APromptOfUnknownLengthCountsAsTypical)
 {
     LONGS_EQUAL(1000, forecastDelay({}, EngineReport {}, 0, pace).count());
 }
--- a/test/EngineSurveyTest.cpp
+++ b/test/EngineSurveyTest.cpp
@@ -31,15 +31,15 @@
     ScriptedEndpoint& addEngine(const std::string& id, const std::string& report, const std::string& zone = "a")
     {
         auto& engine = relay->addEndpoint(id, zone);
-        engine.onRequest([report](ScriptedConnection& asker, const std::string& request) {
+        engine.onRequest([report](ScriptedConnection& client, const std::string& request) {
             if (request.find("/stream/") == std::string::npos) {
-                asker.answer(200, "", report);
+                client.answer(200, "", report);
                 return;
             }
-            asker.beginStream(signedHead);
-            asker.sendEvent(1);
-            asker.sendEvent(2);
-            asker.endStream();
+            client.beginStream(signedHead);
+            client.sendEvent(1);
+            client.sendEvent(2);
+            client.endStream();
         });
         return engine;
     }
@@ -69,7 +69,7 @@
     }
 };
 
-TEST(EngineSurvey, ThePromptGoesToTheEngineThatDelaysStreamsLeast)
+TEST(EngineSurvey, SendsThePromptToTheEngineWithTheLowestDelay)
 {
     addEngine("e1", load(3, 0));
     auto& idle = addEngine("e2", load(0, 0));
@@ -78,7 +78,7 @@
     CHECK(hasServed(idle));
 }
 
-TEST(EngineSurvey, AnEngineThatIsSilentIsNeitherWaitedForNorChosen)
+TEST(EngineSurvey, ASilentEngineIsNeitherAwaitedNorChosen)
 {
     auto& silent = relay->addEndpoint("e1");
     addEngine("e2", load(2, 2));
@@ -87,16 +87,16 @@
     CHECK_FALSE(hasServed(silent));
 }
 
-TEST(EngineSurvey, AnEngineWhoseLoadCannotBeReadIsPassedOver)
+TEST(EngineSurvey, SkipsAnEngineWithAnInvalidLoadReport)
 {
-    auto& lying = addEngine("e1", R"({"waiting":-5,"running":0,"runs":[]})");
-    auto& honest = addEngine("e2", load(4, 4));
+    auto& invalid = addEngine("e1", R"({"waiting":-5,"running":0,"runs":[]})");
+    auto& valid = addEngine("e2", load(4, 4));
     callOnce();
-    CHECK_FALSE(hasServed(lying));
-    CHECK(hasServed(honest));
+    CHECK_FALSE(hasServed(invalid));
+    CHECK(hasServed(valid));
 }
 
-TEST(EngineSurvey, WithoutAnyReportTheChoiceIsByOwnKnowledge)
+TEST(EngineSurvey, ChoosesAnEngineWithoutAnyValidReport)
 {
     auto& first = addEngine("e1", "nonsense");
     auto& second = addEngine("e2", "nonsense");
@@ -104,7 +104,7 @@
     CHECK(hasServed(first) || hasServed(second));
 }
 
-TEST(EngineSurvey, OneEngineAloneIsNotAsked)
+TEST(EngineSurvey, DoesNotProbeASingleEngine)
 {
     auto& engine = addEngine("e1", load(0, 0));
     callOnce();
@@ -112,7 +112,7 @@
 }
 
 // The engine that ran the earlier request has its prompt cached.
-TEST(EngineSurvey, ACallerWhoComesBackIsServedWithoutAQuestion)
+TEST(EngineSurvey, AReconnectingCallerIsServedWithoutAProbe)
 {
     auto& first = addEngine("e1", load(0, 0));
     auto& second = addEngine("e2", load(0, 0));
--- a/test/EstimateTest.cpp
+++ b/test/EstimateTest.cpp
@@ -17,9 +17,9 @@
     }
 };
 
-TEST(Estimate, GivesTheStatedValueUntilEnoughHasBeenSeen)
+TEST(Estimate, ReturnsTheDefaultUntilThereAreEnoughSamples)
 {
-    addRange(1, static_cast<int>(Estimate::fewestSamples) - 1);
+    addRange(1, static_cast<int>(Estimate::minSamples) - 1);
     CHECK_FALSE(estimate.isKnown());
     DOUBLES_EQUAL(75, estimate.quantile(0.5), 0);
     addRange(1, 1);
@@ -27,7 +27,7 @@
     DOUBLES_EQUAL(9, estimate.quantile(1), 0);
 }
 
-TEST(Estimate, GivesQuantilesOfWhatHasBeenSeen)
+TEST(Estimate, ReturnsQuantilesOfTheSamples)
 {
     addRange(1, 41);
     DOUBLES_EQUAL(1, estimate.quantile(0), 0);
@@ -36,15 +36,15 @@
     DOUBLES_EQUAL(41, estimate.quantile(1), 0);
 }
 
-TEST(Estimate, ForgetsAllButTheNewestSamples)
+TEST(Estimate, KeepsOnlyTheNewestSamples)
 {
-    addRange(1, static_cast<int>(Estimate::mostSamples) + 100);
+    addRange(1, static_cast<int>(Estimate::maxSamples) + 100);
     DOUBLES_EQUAL(101, estimate.quantile(0), 0);
-    LONGS_EQUAL(Estimate::mostSamples, estimate.sampleCount());
-    LONGS_EQUAL(static_cast<int>(Estimate::mostSamples) + 100, estimate.newestAt().count());
+    LONGS_EQUAL(Estimate::maxSamples, estimate.sampleCount());
+    LONGS_EQUAL(static_cast<int>(Estimate::maxSamples) + 100, estimate.newestAt().count());
 }
 
-TEST(Estimate, PassesOverSamplesThatAreNoTimes)
+TEST(Estimate, IgnoresInvalidSamples)
 {
     addRange(1, 10);
     for (const double wrong : { 0.0, -5.0, std::nan(""), static_cast<double>(INFINITY) })
@@ -53,7 +53,7 @@
     DOUBLES_EQUAL(10, estimate.quantile(1), 0);
 }
 
-TEST(Estimate, BoundsTheShareThatItIsAskedFor)
+TEST(Estimate, ClampsTheShare)
 {
     addRange(1, 10);
     DOUBLES_EQUAL(1, estimate.quantile(-1), 0);
--- a/test/KeeperChoiceTest.cpp
+++ b/test/KeeperChoiceTest.cpp
@@ -24,16 +24,16 @@
 }
 ;
 
-TEST(KeeperChoice, EveryVmFindsTheSameKeepersWhateverTheOrderOfItsList)
+TEST(KeeperChoice, KeepersDoNotDependOnTheOrderOfTheList)
 {
     const auto names = fleet(6);
-    auto turned = names;
-    std::reverse(turned.begin(), turned.end());
+    auto reversed = names;
+    std::reverse(reversed.begin(), reversed.end());
     for (int i = 0; i < 100; ++i)
-        CHECK(keepers(std::to_string(i), names) == keepers(std::to_string(i), turned));
+        CHECK(keepers(std::to_string(i), names) == keepers(std::to_string(i), reversed));
 }
 
-TEST(KeeperChoice, OneOfTheKeepersIsTheSameAfterAVmHasGone)
+TEST(KeeperChoice, LosingAVmReplacesAtMostOneKeeper)
 {
     const auto names = fleet(6);
     auto fewer = names;
@@ -54,7 +54,7 @@
     LONGS_EQUAL(6, used.size());
 }
 
-TEST(KeeperChoice, AVmTalksToFewOthersHoweverManyThereAre)
+TEST(KeeperChoice, KeepersAreFewInALargeFleet)
 {
     std::set<std::string> used;
     for (int i = 0; i < 1000; ++i)
--- a/test/PlacementTest.cpp
+++ b/test/PlacementTest.cpp
@@ -40,7 +40,7 @@
         STRCMP_EQUAL("a", choose({}, seed)->entry().availabilityZone.c_str());
 }
 
-TEST(Placement, LeavesTheOwnZoneRatherThanAddToABusyEndpoint)
+TEST(Placement, PrefersAnotherZoneToABusyEndpoint)
 {
     for (const auto& endpoint : directory->endpointsOf("s")) {
         if (endpoint->entry().availabilityZone == "a")
@@ -64,7 +64,7 @@
         POINTERS_EQUAL(first.get(), choose({ .promptId = "91bd3f06", .preference = 2.5 }, seed).get());
 }
 
-TEST(Placement, PassesOverThePreferredEndpointWhenItIsTooBusy)
+TEST(Placement, SkipsThePreferredEndpointWhenItIsTooBusy)
 {
     const auto first = choose({ .promptId = "91bd3f06", .preference = 1.5 });
     first->callStarted();
@@ -77,10 +77,10 @@
 {
     for (std::uint64_t seed = 0; seed < 30; ++seed)
         STRCMP_EQUAL(
-            "b", choose({ .zonesToLeave = { "a" }, .mustBeSound = true }, seed)->entry().availabilityZone.c_str());
+            "b", choose({ .zonesToAvoid = { "a" }, .mustBeSound = true }, seed)->entry().availabilityZone.c_str());
 }
 
-TEST(Placement, FindsNoPlaceForACopyAmongAvoidedEndpoints)
+TEST(Placement, PutsNoCopyAtAnAvoidedEndpoint)
 {
     for (const auto& endpoint : directory->endpointsOf("s"))
         endpoint->avoidUntil(now + Milliseconds { 1 });
@@ -88,7 +88,7 @@
     CHECK_TEXT(choose({}) != nullptr, "an avoided endpoint must still be chosen when there is no other");
 }
 
-TEST(Placement, ChoosesTheEngineThatReportsLeastToDo)
+TEST(Placement, ChoosesTheEngineThatReportsTheLeastLoad)
 {
     const auto busy = directory->find("a0");
     const auto idle = directory->find("a1");
@@ -98,7 +98,7 @@
     POINTERS_EQUAL(idle.get(), placement.chooseReported({ busy, idle }, { 5000, 1000 }, {}, now).get());
 }
 
-TEST(Placement, ChoosesNoEngineThatBeganToLeaveWhileItWasAsked)
+TEST(Placement, ChoosesNoEngineThatStartedToDrainDuringTheProbe)
 {
     const auto leaving = directory->find("a0");
     leaving->noteReport({}, now);
--- a/test/PolicyTest.cpp
+++ b/test/PolicyTest.cpp
@@ -26,15 +26,15 @@
 
     static ScriptedConnection::OnRequest streams()
     {
-        return [](ScriptedConnection& asker, const std::string&) {
-            asker.beginStream(signedHead);
-            asker.sendEvent(1);
-            asker.endStream();
+        return [](ScriptedConnection& client, const std::string&) {
+            client.beginStream(signedHead);
+            client.sendEvent(1);
+            client.endStream();
         };
     }
 };
 
-TEST(Policy, EachHasANameOfItsOwnAndIsOn)
+TEST(Policy, EachHasAUniqueNameAndIsOnByDefault)
 {
     std::set<std::string_view> names;
     const PolicySet policies;
@@ -54,7 +54,7 @@
         CHECK(policies.has(row.value) == (row.value != Policy::LoadSurvey));
 }
 
-TEST(Policy, WithoutTheSurveyNoEngineIsAskedForItsLoad)
+TEST(Policy, WithoutLoadSurveyNoEngineIsProbed)
 {
     relay->settings.policies.switchOff(Policy::LoadSurvey);
     relay->useEngines();
@@ -78,7 +78,7 @@
     CHECK_FALSE(engine.hasAsked(0, "X-Kv-Backup"));
 }
 
-TEST(Policy, WithoutTheTimeCheckAHopelessRequestIsSentAllTheSame)
+TEST(Policy, WithoutTimeCheckARequestThatCannotEndInTimeIsSent)
 {
     relay->settings.policies.switchOff(Policy::TimeCheck);
     relay->addRoute("stream", RequestKind::EventStream, 5);
@@ -92,10 +92,10 @@
     relay->settings.shortestHedgeDelay = relay->settings.longestHedgeDelay = Milliseconds { 1 };
     relay->settings.retrySlackShare = 1;
     relay->addRoute("call", RequestKind::Idempotent, 2);
-    const auto slow = [this](ScriptedConnection& asker, const std::string&) {
+    const auto slow = [this](ScriptedConnection& client, const std::string&) {
         const auto timer = std::make_shared<boost::asio::steady_timer>(relay->daemon().ioContext());
         timer->expires_after(Milliseconds { 60 });
-        timer->async_wait([timer, connection = asker.shared_from_this()](
+        timer->async_wait([timer, connection = client.shared_from_this()](
                               boost::system::error_code) { connection->answer(200, signedHead, "x"); });
     };
     auto& first = relay->addEndpoint("e1");
--- a/test/RetryBudgetFleetTest.cpp
+++ b/test/RetryBudgetFleetTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-void checkKeepsToTheBudget(const RetryPlay& play)
+void checkStaysWithinBudget(const RetryPlay& play)
 {
     const auto outcome = playRetries(play);
     const auto excess = static_cast<int>(outcome.greatestExcess);
@@ -32,23 +32,23 @@
 
 // Engines run at half speed and change their names while the store is unavailable: runs last twice as long, more of
 // them are lost at a time, and two in five attempts are rejected. Each VM took 2.3 times its part.
-TEST(RetryBudgetFleet, KeepsToTheBudgetWhileEnginesComeBackUnderNamesThatNobodyKnows)
+TEST(RetryBudgetFleet, StaysWithinTheBudgetWhileEnginesRestartUnderUnknownNames)
 {
     for (std::uint64_t seed = 21; seed < 31; ++seed)
-        checkKeepsToTheBudget({ .seed = seed, .requestsPerSecond = 27.6, .runSeconds = 11, .lossShare = 0.95 });
+        checkStaysWithinBudget({ .seed = seed, .requestsPerSecond = 27.6, .runSeconds = 11, .lossShare = 0.95 });
 }
 
-TEST(RetryBudgetFleet, KeepsToTheBudgetWhateverItsSizeAndLoad)
+TEST(RetryBudgetFleet, StaysWithinTheBudgetForAnySizeAndLoad)
 {
     RetryPlays plays;
     for (auto play = plays.next(); play.seed <= seedsThatExceeded.back(); play = plays.next()) {
         if (play.seed <= 60 || std::count(seedsThatExceeded.begin(), seedsThatExceeded.end(), play.seed))
-            checkKeepsToTheBudget(play);
+            checkStaysWithinBudget(play);
     }
 }
 
 // The budget must be usable: where losses are alike on all VMs, they spend most of it.
-TEST(RetryBudgetFleet, SpendsMostOfTheBudgetWhenAllAreStruck)
+TEST(RetryBudgetFleet, SpendsMostOfTheBudgetWhenLossesAffectAllVms)
 {
     const auto outcome = playRetries({ .seed = 3, .turnedAwayShare = 0.7, .turnedAwayWhileSilent = 0.9 });
     const auto left = static_cast<int>(-outcome.greatestExcess);
--- a/test/RetryBudgetTest.cpp
+++ b/test/RetryBudgetTest.cpp
@@ -105,7 +105,7 @@
     LONGS_EQUAL(2, takeAll(budget));
 }
 
-TEST(RetryBudget, GivesBackTheOldestSoThatWhatHasArrivedCountsToItsEnd)
+TEST(RetryBudget, GiveBackRemovesTheOldestRetry)
 {
     RetryBudget budget(settings);
     CHECK(take(budget));
--- a/test/ServicePaceTest.cpp
+++ b/test/ServicePaceTest.cpp
@@ -11,29 +11,29 @@
 
     static void fill(Estimate & estimate, double value)
     {
-        for (std::size_t i = 0; i < Estimate::fewestSamples; ++i)
+        for (std::size_t i = 0; i < Estimate::minSamples; ++i)
             estimate.add(value, Milliseconds { 1 });
     }
 };
 
-TEST(ServicePace, StatesTheWaitsThatHoldBeforeAnythingHasBeenSeen)
+TEST(ServicePace, UsesDefaultsWithoutSamples)
 {
     LONGS_EQUAL(75, pace.hedgeDelay().count());
     LONGS_EQUAL(170, pace.silenceBeforeQuestion(Milliseconds { 170 }).count());
     LONGS_EQUAL_TEXT(1500, pace.silenceBeforeFirstEvent(5000).count(), "1.5 times the prefill time");
-    LONGS_EQUAL(1000, readTime({ 5000, 0 }, pace.engine()).count());
+    LONGS_EQUAL(1000, prefillTime({ 5000, 0 }, pace.engine()).count());
 }
 
-TEST(ServicePace, WaitsLongerForEnginesThatAreSeenToBeSlower)
+TEST(ServicePace, WaitsLongerForSlowerEngines)
 {
     fill(pace.eventInterval, 62);
     fill(pace.readTimePerToken, 0.4);
     LONGS_EQUAL(341, pace.silenceBeforeQuestion(Milliseconds { 170 }).count());
     LONGS_EQUAL(3000, pace.silenceBeforeFirstEvent(5000).count());
-    LONGS_EQUAL(2000, readTime({ 5000, 0 }, pace.engine()).count());
+    LONGS_EQUAL(2000, prefillTime({ 5000, 0 }, pace.engine()).count());
 }
 
-TEST(ServicePace, SendsACallAgainOnceMostHaveBeenAnswered)
+TEST(ServicePace, HedgesACallAfterMostHaveBeenAnswered)
 {
     for (int i = 1; i <= 41; ++i)
         pace.callTime.add(i, Milliseconds { i });
