--- a/src/relay/EngineChoice.h
+++ b/src/relay/EngineChoice.h
@@ -40,7 +40,7 @@
     using Engines = std::vector<std::shared_ptr<RelayEndpoint>>;
     using Callback = std::function<void(const std::shared_ptr<RelayEndpoint>&)>;
 
-    // The context, the request and the rollout part must outlive it.
+    // The context, the request and the rollout must outlive it.
     static std::shared_ptr<EngineChoice> make(RelayContext&, const RelayRequest&, RolloutPart&);
     ~EngineChoice();
 
@@ -79,7 +79,7 @@
     // Null where VMs do not share run locations.
     RunLocations* runLocations() const;
     void onEarlierRunFound(const std::optional<RunLocation>&);
-    // True unless the engine is shutting down, avoided, backing off, out of permits or in a failing zone.
+    // True unless the engine is shutting down, avoided, backing off, out of permits, suspected or in a failing zone.
     bool isHealthy(const RelayEndpoint&) const;
     // The placement for a run that has to prefill the prompt.
     PlacementRequest placementRequest() const;
--- a/src/relay/ServicePace.h
+++ b/src/relay/ServicePace.h
@@ -28,7 +28,8 @@
 
     // Milliseconds from a stream's response header to its first event. Default: they arrive together.
     Estimate headLead { 1 };
-    // True once a response header has arrived before any event: an engine that has sent no header has not started.
+    // True once a response header has arrived before any event: an engine that has sent no header for a request has not
+    // started it.
     bool showsBeginnings { false };
 
     // The input of engine forecasts: the median prompt, and the pace of requests that had an engine to themselves.
