--- a/test/KeeperChoiceTest.cpp
+++ b/test/KeeperChoiceTest.cpp
@@ -24,16 +24,16 @@
 }
 ;
 
-TEST(KeeperChoice, EveryVmFindsTheSameKeepersWhateverTheOrderOfItsList)
+TEST(KeeperChoice, KeepersDoNotDependOnTheOrderOfTheList)
 {
     const auto names = fleet(6);
-    auto turned = names;
-    std::reverse(turned.begin(), turned.end());
+    auto reversed = names;
+    std::reverse(reversed.begin(), reversed.end());
     for (int i = 0; i < 100; ++i)
-        CHECK(keepers(std::to_string(i), names) == keepers(std::to_string(i), turned));
+        CHECK(keepers(std::to_string(i), names) == keepers(std::to_string(i), reversed));
 }
 
-TEST(KeeperChoice, OneOfTheKeepersIsTheSameAfterAVmHasGone)
+TEST(KeeperChoice, LosingAVmReplacesAtMostOneKeeper)
 {
     const auto names = fleet(6);
     auto fewer = names;
@@ -42,7 +42,7 @@
         std::size_t shared = 0;
         for (const auto& name : keepers(std::to_string(i), fewer))
             shared += keepers(std::to_string(i), names).count(name);
-        CHECK_TEXT(shared >= keepersOfALocation - 1, "the loss of one VM moves one keeper at most");
+        CHECK_TEXT(shared >= keepersOfALocation - 1, "the loss of one VM must replace at most one keeper");
     }
 }
 
@@ -54,7 +54,7 @@
     LONGS_EQUAL(6, used.size());
 }
 
-TEST(KeeperChoice, AVmTalksToFewOthersHoweverManyThereAre)
+TEST(KeeperChoice, KeepersAreFewInALargeFleet)
 {
     std::set<std::string> used;
     for (int i = 0; i < 1000; ++i)
