--- a/include/lupinknot/AppendResult.h
+++ b/include/lupinknot/AppendResult.h
@@ -1,4 +1,4 @@
-// What became of a token, or of an end, that an attempt offered to its generation.
+// The result of offering a token or a finish event to a generation.
 #pragma once
 
 #include "lupinknot/EnumNames.h"
@@ -7,7 +7,7 @@
 
 enum class AppendResult {
     Appended,
-    NotCurrentAttempt, // A later attempt has taken over, so this one must be cancelled.
+    NotCurrentAttempt, // A later attempt has replaced this one, which must be cancelled.
     WrongPosition, // The current attempt skipped or repeated a position, so it cannot be trusted.
     AlreadyEnded, // The answer is complete.
 };
--- a/include/lupinknot/Clock.h
+++ b/include/lupinknot/Clock.h
@@ -1,8 +1,8 @@
-// Time for every decision of the library.
+// The time source for every decision of the library.
 //
-// All durations and instants are whole milliseconds. An instant counts from an unspecified start and never goes back,
-// so instants of two processes cannot be compared. Decisions take the instant as a parameter or read it from a Clock,
-// which lets a test set it:
+// All durations and instants are whole milliseconds. An instant counts from an unspecified start and never goes back.
+// Instants of two processes cannot be compared. Code that decides takes the instant as a parameter or reads it from a
+// Clock, so that a test can set it:
 //
 //     ManualClock clock;
 //     clock.advance(Milliseconds { 20 });
--- a/include/lupinknot/EndpointPulse.h
+++ b/include/lupinknot/EndpointPulse.h
@@ -1,7 +1,7 @@
-// Tells whether an endpoint is silent, from the tokens of all streams on it.
+// Detects whether an endpoint is silent, from the tokens of all streams on it.
 //
-// A token of any stream proves the endpoint alive. When all are silent together for longer than the detector's
-// patience, the endpoint is suspected; one stream that is silent while others go on is given more time.
+// A token of any stream proves that the endpoint is alive. When all streams together are silent for longer than the
+// detector's timeout, the endpoint is suspected. A single stream that is silent while others continue gets more time.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -15,17 +15,17 @@
 struct PulseSettings {
     DetectorKind detector { DetectorKind::Maximum };
     SilenceBounds bounds;
-    // How long one stream may be silent while others on the endpoint go on.
+    // How long one stream may be silent while other streams on the endpoint continue.
     Milliseconds loneStreamPatience { 5000 };
-    // How long the endpoint may be silent while a stream waits for its first token, which takes a prefill.
+    // How long the endpoint may be silent while a stream waits for its first token, which requires a prefill.
     Milliseconds prefillPatience { 1200 };
     // How long a stream may wait for its first token on an endpoint that is alive.
     Milliseconds firstTokenTimeout { 10000 };
 };
 
-// What one stream knows of itself when it asks.
+// The state of the stream for which a verdict is requested.
 struct StreamActivity {
-    // When the stream was opened, or its last token came.
+    // When the stream was opened, or when its last token arrived.
     Milliseconds lastActivity;
     bool hasToken { false };
 };
@@ -36,20 +36,20 @@
     StreamSilent,
 };
 
-// Thread-safe, under one lock of its own. Shared by the streams on one endpoint.
+// Thread-safe, protected by its own lock. Shared by the streams on one endpoint.
 class EndpointPulse {
 public:
     explicit EndpointPulse(const PulseSettings&);
 
-    // Tells of a token; the gap is the time since the same stream's token before, if there was one.
+    // Records a token. The gap is the time since the previous token of the same stream, if there was one.
     void tokenSeen(Milliseconds now, std::optional<Milliseconds> gap);
     PulseVerdict verdict(Milliseconds now, const StreamActivity&) const;
-    // The earliest instant at which the verdict can differ from Alive if nothing more comes.
+    // The earliest instant at which the verdict can differ from Alive if no further token arrives.
     Milliseconds nextCheck(const StreamActivity&) const;
     Milliseconds patience() const;
 
 private:
-    // The instants at which the two kinds of silence become too long.
+    // The instants at which the silence of the endpoint and that of the stream become too long.
     struct Limits {
         Milliseconds endpoint;
         Milliseconds stream;
--- a/include/lupinknot/EnumNames.h
+++ b/include/lupinknot/EnumNames.h
@@ -1,4 +1,4 @@
-// Tables that give the values of an `enum class` their names, for logs, settings and messages.
+// Tables that map the values of an `enum class` to names, for logs, settings and messages.
 //
 //     constexpr std::array<EnumName<Color>, 2> colorNames { { { Color::Red, "red" }, { Color::Blue, "blue" } } };
 //     nameIn(colorNames, Color::Red);    // "red"
@@ -16,7 +16,7 @@
     std::string_view name;
 };
 
-// Returns the name of a value, or "?" when the table lacks it.
+// Returns the name of a value, or "?" when the table does not contain it.
 template <typename Enum, std::size_t count>
 constexpr std::string_view nameIn(const std::array<EnumName<Enum>, count>& table, Enum value)
 {
@@ -27,7 +27,7 @@
     return "?";
 }
 
-// Returns the value of a name, or nothing when the table lacks it.
+// Returns the value of a name, or std::nullopt when the table does not contain it.
 template <typename Enum, std::size_t count>
 constexpr std::optional<Enum> valueIn(const std::array<EnumName<Enum>, count>& table, std::string_view name)
 {
--- a/include/lupinknot/FailureKind.h
+++ b/include/lupinknot/FailureKind.h
@@ -1,4 +1,4 @@
-// The ways in which an attempt can end without a finished answer, and what each one proves.
+// The ways in which an attempt can end without a complete answer, and what each of them proves.
 #pragma once
 
 #include "lupinknot/EnumNames.h"
@@ -6,16 +6,16 @@
 namespace lupinknot {
 
 enum class FailureKind {
-    ConnectionRefused, // No connection came about, so no byte of the request was sent.
-    Overloaded, // The endpoint answered 429 or 503: it turned the request away before starting it.
+    ConnectionRefused, // No connection was established, so no byte of the request was sent.
+    Overloaded, // The endpoint answered 429 or 503: it rejected the request before it started.
     ConnectionLost, // The connection broke after the request was sent.
     ErrorStatus, // The endpoint answered with another error status.
     EarlyEnd, // The stream ended cleanly but without its final event.
-    MalformedEvent, // The stream carried something that is not an event.
+    MalformedEvent, // The stream contained something that is not a valid event.
     WrongPosition, // A token came at a position other than the next one.
-    Silent, // Nothing has come for longer than the detector's patience.
-    StreamGone, // The endpoint knows nothing of the stream that was to be attached to.
-    FirstTokenTimeout, // The endpoint lives, but this stream's first token has not come in time.
+    Silent, // Nothing has arrived for longer than the silence timeout.
+    StreamGone, // The endpoint does not know the stream to which the attempt should attach.
+    FirstTokenTimeout, // The endpoint is alive, but the first token of this stream did not arrive in time.
 };
 
 // One row of the table of what a failure proves.
@@ -24,7 +24,7 @@
     std::string_view name;
     // True when the failure proves that the endpoint did not begin the work.
     bool provesNotStarted;
-    // True when the endpoint should get no new work for a while.
+    // True when the endpoint should receive no new work for a while.
     bool blamesEndpoint;
 };
 
@@ -41,7 +41,7 @@
     { FailureKind::FirstTokenTimeout, "first-token-timeout", false, false },
 } };
 
-// Returns the row of a kind. Every kind has one.
+// Returns the row of a kind. The table has one row for every kind, in the order of the enum.
 constexpr const FailureTraits& traitsOf(FailureKind kind) { return failureTraitsTable[static_cast<std::size_t>(kind)]; }
 
 } // namespace lupinknot
--- a/include/lupinknot/FinishReason.h
+++ b/include/lupinknot/FinishReason.h
@@ -6,8 +6,8 @@
 namespace lupinknot {
 
 enum class FinishReason {
-    Length, // The limit of tokens was reached.
-    Stop, // A stop string was generated, or the model ended by itself.
+    Length, // The token limit was reached.
+    Stop, // A stop string was generated, or the model ended the answer.
 };
 
 inline constexpr std::array<EnumName<FinishReason>, 2> finishReasonNames { {
--- a/include/lupinknot/GenerationDriver.h
+++ b/include/lupinknot/GenerationDriver.h
@@ -1,13 +1,13 @@
-// Carries one generation to its end over as many attempts as that takes.
+// Runs one generation to its end, over as many attempts as that takes.
 //
-// The driver decides; it does no input or output and has no threads or timers. The embedding program tells it what
-// happened, and the driver asks its AttemptHost to start and cancel attempts. See samples/ for a program of one page.
+// The driver only decides: it performs no I/O and has no threads or timers. The embedding program reports events to it,
+// and the driver asks its AttemptHost to start and cancel attempts. See samples/ for a one-page program.
 //
 //     GenerationDriver driver(request, settings, host);
 //     driver.start(clock.now());
 //     driver.tokenArrived(1, 0, { 17, "a" }, clock.now());
-//     driver.attemptFailed(1, FailureKind::ConnectionLost, clock.now());  // The host is asked for attempt 2.
-//     driver.tick(driver.nextTick());                                      // Silence and deadlines are noticed here.
+//     driver.attemptFailed(1, FailureKind::ConnectionLost, clock.now());  // Asks the host to start attempt 2.
+//     driver.tick(driver.nextTick());                                      // Detects silence and passed deadlines.
 #pragma once
 
 #include "lupinknot/AttemptHost.h"
@@ -19,11 +19,11 @@
 struct GenerationRequest {
     GenerationLimits limits;
     bool repeatable { true };
-    // The instant at which the caller's patience ends.
+    // The instant after which the caller no longer waits for the answer.
     Milliseconds deadline { Milliseconds::max() };
 };
 
-// What another VM had of a generation when it was taken over.
+// What another VM held of a generation when this VM took it over.
 struct AdoptedGeneration {
     std::vector<Token> tokens;
     // The last attempt that may have begun; 0 for none.
@@ -31,33 +31,33 @@
     std::optional<FinishReason> finishReason;
 };
 
-// Not thread-safe: one lock of the owner protects the driver, and no two drivers share state. The host must outlive it.
+// Not thread-safe: one lock of the owner protects the driver. Drivers share no state. The host must outlive the driver.
 class GenerationDriver {
 public:
     GenerationDriver(GenerationRequest, const RecoverySettings&, AttemptHost&);
 
     void start(Milliseconds now);
 
-    // The endpoint has taken the work; from here on the attempt may have begun.
+    // Reports a token. It proves that the endpoint accepted the work, so from now on the attempt may have begun.
     AppendResult tokenArrived(AttemptNumber, std::size_t position, Token, Milliseconds now);
     AppendResult attemptFinished(AttemptNumber, std::size_t position, FinishReason, Milliseconds now);
-    // Ignored unless the attempt is the current one and runs.
+    // Ignored unless the attempt is the current one and still runs.
     void attemptFailed(AttemptNumber, FailureKind, Milliseconds now);
 
-    // Notices silence, deadlines and endpoints that have come back. Call it at nextTick(), or at any time.
+    // Detects silence, passed deadlines and endpoints that are available again. Call it at nextTick(), or at any time.
     void tick(Milliseconds now);
     Milliseconds nextTick() const;
 
-    // Takes up a generation that another VM has begun. Call it before the start.
+    // Takes over a generation that another VM has begun. Must be called before the start.
     void adopt(AdoptedGeneration);
     // Starts by attaching to the stream that the last attempt left running on an endpoint.
     void startAttached(EndpointChoice, Milliseconds now);
 
-    // Ends the generation with an error, unless it has ended.
+    // Ends the generation with an error, unless it has already ended.
     void stop(GenerationErrorCode);
-    // Stops the work because nobody waits for it any more. The tokens stay.
+    // Stops the work because no caller waits for it any more. Keeps the tokens.
     void abandon();
-    // Continues abandoned work from its tokens. Does nothing unless the work was abandoned and may go on.
+    // Continues abandoned work from its tokens. Does nothing unless the work was abandoned and may continue.
     void revive(Milliseconds now, Milliseconds deadline);
 
     const Generation& generation() const { return m_generation; }
@@ -75,14 +75,14 @@
         Ended,
     };
 
-    // The attempt that runs now.
+    // The attempt that is running.
     struct Running {
         AttemptNumber number { 0 };
         EndpointChoice endpoint;
         StreamActivity activity;
     };
 
-    // A loss that no token has followed yet.
+    // A lost attempt that no token has followed yet.
     struct Loss {
         FailureKind failure;
         Milliseconds lastActivity;
--- a/include/lupinknot/GenerationError.h
+++ b/include/lupinknot/GenerationError.h
@@ -9,12 +9,12 @@
 namespace lupinknot {
 
 enum class GenerationErrorCode {
-    NoEndpoint, // No endpoint could take the work in the time allowed.
+    NoEndpoint, // No endpoint could take the work within the time allowed.
     AttemptsExhausted, // Too many attempts failed.
     MayHaveRun, // The request must not be repeated and may have begun.
     DeadlineExceeded,
-    Abandoned, // The caller has gone.
-    NotProtected, // No other VM could take note of a request that must not be repeated.
+    Abandoned, // The caller is gone.
+    NotProtected, // No other VM could record a request that must not be repeated.
     TakenOver, // Another VM runs the generation now.
 };
 
@@ -31,7 +31,7 @@
 struct GenerationError {
     GenerationErrorCode code;
     RunOutcome outcome;
-    // For people: what happened, and the last failure of an attempt.
+    // For people: what went wrong, and the last failure of an attempt.
     std::string message;
 };
 
--- a/include/lupinknot/MonotonicClock.h
+++ b/include/lupinknot/MonotonicClock.h
@@ -1,7 +1,7 @@
-// The clock of a running process: the system's clock since boot, which changes of the time of day do not touch.
+// The clock of a running process: the system's clock since boot, which changes of the time of day do not affect.
 //
-// It also counts the time for which the machine was suspended, because what was believed before has aged by it: kept
-// connections, copies, the store's news.
+// It also counts the time for which the machine was suspended, because everything that the process knew before has aged
+// by that time: keep-alive connections, copies, updates from the platform store.
 #pragma once
 
 #include "lupinknot/Clock.h"
--- a/include/lupinknot/RecoveryPolicy.h
+++ b/include/lupinknot/RecoveryPolicy.h
@@ -1,10 +1,10 @@
-// Decides what follows when an attempt has failed.
+// Decides what to do after an attempt has failed.
 //
-// A pure function of what is known, so that every rule about repeating work stands in one place:
-//  - A failure that proves the endpoint did not start allows another try for any request.
-//  - A request that may be repeated goes on, from its tokens if it has any.
-//  - A request that may not be repeated goes on from a prefix of at least one token, because the tokens so far belong
-//    to the one answer it has; from nothing it is given up as unknown.
+// A pure function of the known state, so that every rule about repeating work is in one place:
+//  - After a failure that proves that the endpoint did not start, any request may be tried again.
+//  - A repeatable request continues, from its tokens if it has any.
+//  - A request that must not be repeated continues from a prefix of at least one token, because those tokens belong to
+//    its only answer. Without any token it is given up with an unknown outcome.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -19,11 +19,11 @@
 };
 
 struct RecoverySettings {
-    // Attempts that one generation may take, those not counted that were turned away before they began.
+    // Maximum number of attempts of one generation. An attempt that was rejected before it started does not count.
     unsigned maxAttempts { 12 };
     // How long a generation waits for an endpoint while none can take it.
     Milliseconds endpointWait { 2000 };
-    // Pause between two looks for an endpoint.
+    // Time between two tries to choose an endpoint.
     Milliseconds endpointRetryInterval { 10 };
 };
 
@@ -32,13 +32,13 @@
     // True when any attempt so far may have begun the work.
     bool mayHaveStarted { false };
     std::size_t tokensHeld { 0 };
-    // Attempts that may have begun the work; one that was turned away before costs nothing and is not counted.
+    // Attempts that may have begun the work. One that was rejected before it started costs nothing and does not count.
     unsigned attemptsBegun { 0 };
 };
 
 RecoveryStep nextStep(const RecoveryState&, const RecoverySettings&);
 
-// What a refusal may say about the work.
+// What an error may report about whether the work has run.
 RunOutcome outcomeOf(const RecoveryState&);
 
 } // namespace lupinknot
--- a/include/lupinknot/ReplicaRecord.h
+++ b/include/lupinknot/ReplicaRecord.h
@@ -8,17 +8,17 @@
 
 namespace lupinknot {
 
-// The request, in the form in which the embedding program can read it again.
+// The request, in a form that the embedding program can parse again.
 struct JournaledRequest {
-    // The key under which an organisation's request is known to all VMs. A line feed cannot be part of a header's
-    // value, so it separates without doubt.
+    // The key that identifies an organisation's request on all VMs. A header's value cannot contain a line feed, so the
+    // line feed is an unambiguous separator.
     static std::string scopedKey(const std::string& organisation, const std::string& idempotencyKey)
     {
         return organisation + "\n" + idempotencyKey;
     }
 
     std::string generation;
-    // Unique over organisations.
+    // Unique across organisations.
     std::string key;
     std::string organisation;
     std::string idempotencyKey;
@@ -27,12 +27,12 @@
     Milliseconds timeLeft { 0 };
 };
 
-// The attempt that ran last, so that its stream can be attached to.
+// The latest attempt, recorded so that another VM can attach to its stream.
 struct JournaledAttempt {
     AttemptNumber number { 0 };
     std::string endpoint;
     std::string stream;
-    // The position of the stream's first token in the answer.
+    // Position of the stream's first token in the answer.
     std::size_t position { 0 };
 };
 
--- a/include/lupinknot/ReplicaStore.h
+++ b/include/lupinknot/ReplicaStore.h
@@ -1,16 +1,16 @@
-// The journal that a VM keeps for others: the generations it can take over.
+// Journal records of generations that other VMs run and that this VM can take over.
 //
-// Every rule that keeps an old runner out stands here:
-//  - A record that has been taken over is sealed: its runner's further items are refused, and the runner, which shows
-//  its
-//    caller nothing that is not acknowledged, can show nothing more.
-//  - Items of an epoch below the floor are refused. The floor rises with each view that this VM hears of.
-//  - A key has one record. A second runner for it is refused until the first one's record is gone.
+// All rules that fence off an old runner are in this class:
+//  - A record that has been taken over is sealed: further items of its runner are refused. The runner shows its caller
+//    nothing that is not acknowledged, so it can show nothing more.
+//  - Items of an epoch below the minimum are refused. raiseFloor() sets the minimum from each view that this VM learns
+//  of.
+//  - A key has one record. A second runner for it is refused until the first one's record has been removed.
 //
 //     ReplicaStore store;
 //     store.open(epoch, record);                       // Applied
 //     store.append(epoch, runner, key, 0, tokens);     // Applied
-//     auto taken = store.seal(key, now);                  // The record, as far as it was acknowledged.
+//     auto taken = store.seal(key, now);               // The record, as far as it was acknowledged.
 //     store.append(epoch, runner, key, 3, more);       // Refused
 #pragma once
 
@@ -32,28 +32,30 @@
     { JournalResult::Refused, "refused" },
 } };
 
-// Thread-safe, under one lock of its own.
+// Thread-safe, protected by its own lock.
 class ReplicaStore {
 public:
-    // Begins a record, or takes up that of the same generation with all that it holds.
+    // Begins a record. A record of the same generation that exists already is kept with everything it holds.
     JournalResult open(std::uint64_t epoch, ReplicaRecord);
-    // Adds tokens. They may overlap with those held; a gap is refused.
+    // Adds tokens. They may overlap with those already held; a gap is refused.
     JournalResult append(std::uint64_t epoch, const ViewMember& runner, const std::string& key, std::size_t position,
         std::vector<Token>);
     JournalResult setPromptIds(
         std::uint64_t epoch, const ViewMember& runner, const std::string& key, std::vector<TokenId>);
     JournalResult setAttempt(std::uint64_t epoch, const ViewMember& runner, const std::string& key, JournaledAttempt);
     JournalResult finish(std::uint64_t epoch, const ViewMember& runner, const std::string& key, FinishReason);
-    // The runner needs the record no longer.
+    // Removes a record that its runner no longer needs.
     void drop(const ViewMember& runner, const std::string& key);
 
     // The record of a key, sealed or not.
     std::optional<ReplicaRecord> find(const std::string& key) const;
-    // Takes the record over: from here on its runner is refused. Nothing when there is none, or it has been taken.
+    // Takes the record over: its runner is refused from now on. Empty when there is none or it has already been taken
+    // over.
     std::optional<ReplicaRecord> seal(const std::string& key, Milliseconds now);
-    // Refuses all items of lower epochs from here on.
+    // Refuses all items of lower epochs from now on.
     void raiseFloor(std::uint64_t epoch);
-    // Tells that a runner is lost, or back. Records without a runner, and those taken over, are kept for a time.
+    // Marks a runner as lost, or as back. Records without a runner, and those taken over, are removed by sweep() once
+    // the retention time has passed.
     void runnerLost(const std::string& vm, Milliseconds now);
     void runnerBack(const ViewMember& runner);
     void sweep(Milliseconds now, Milliseconds retention);
@@ -72,7 +74,7 @@
     JournalResult write(std::uint64_t epoch, const ViewMember& runner, const std::string& key, const Change&);
 
     mutable std::mutex m_mutex;
-    // Both under the lock.
+    // Both are protected by m_mutex.
     std::unordered_map<std::string, Entry> m_entries;
     std::uint64_t m_floor { 0 };
 };
--- a/include/lupinknot/RunOutcome.h
+++ b/include/lupinknot/RunOutcome.h
@@ -1,4 +1,4 @@
-// What a refusal says about whether the request ran.
+// What an error reports about whether the request has run.
 #pragma once
 
 #include "lupinknot/EnumNames.h"
@@ -6,8 +6,8 @@
 namespace lupinknot {
 
 enum class RunOutcome {
-    NotRun, // Proved: no endpoint has begun the work.
-    Unknown, // The work may have run, in part or whole.
+    NotRun, // Proven: no endpoint has begun the work.
+    Unknown, // The work may have run, partly or completely.
 };
 
 inline constexpr std::array<EnumName<RunOutcome>, 2> runOutcomeNames { {
--- a/include/lupinknot/SilenceDetector.h
+++ b/include/lupinknot/SilenceDetector.h
@@ -1,6 +1,6 @@
-// Decides how long a stream may stay silent before its endpoint is suspected.
+// Computes how long a stream may be silent before its endpoint is suspected.
 //
-// A detector learns from the gaps between tokens. docs/DETECTORS.md compares those that are built in.
+// A detector learns from the gaps between tokens. docs/DETECTORS.md compares the detectors.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -10,9 +10,9 @@
 namespace lupinknot {
 
 enum class DetectorKind {
-    Fixed, // A constant, whatever the gaps.
+    Fixed, // A constant, independent of the gaps.
     Quantile, // A multiple of a high quantile of the recent gaps.
-    Maximum, // A little more than the longest of the recent gaps.
+    Maximum, // The longest of the recent gaps, plus a margin.
     PhiAccrual, // Phi accrual over a normal distribution of the recent gaps (Hayashibara et al., 2004).
 };
 
@@ -23,23 +23,23 @@
     { DetectorKind::PhiAccrual, "phi-accrual" },
 } };
 
-// Bounds of the patience that a detector may answer with.
+// Bounds of the timeout that a detector computes.
 struct SilenceBounds {
     Milliseconds floor { 350 };
     Milliseconds ceiling { 1500 };
 };
 
-// Not thread-safe: EndpointPulse protects it by its lock.
+// Not thread-safe: the lock of EndpointPulse protects it.
 class SilenceDetector {
 public:
     virtual ~SilenceDetector() = default;
-    // Takes the gap between two tokens of one stream.
+    // Adds the gap between two tokens of one stream.
     virtual void observe(Milliseconds gap) = 0;
-    // How long a silence may last, within the bounds.
+    // The silence timeout, within the bounds.
     virtual Milliseconds patience() const = 0;
 };
 
-// Makes a detector of a kind. The fixed one answers with the floor.
+// Creates a detector of a kind. The fixed detector always returns the lower bound.
 std::unique_ptr<SilenceDetector> makeSilenceDetector(DetectorKind, SilenceBounds);
 
 } // namespace lupinknot
--- a/include/lupinknot/StopMatcher.h
+++ b/include/lupinknot/StopMatcher.h
@@ -1,7 +1,7 @@
 // Finds stop strings in text that arrives token by token.
 //
-// The engines cannot do this across a resumption: an attempt that resumes has not seen the first half of a stop string
-// as its own output. So the generation matches, and the engines are not given the stop strings.
+// The engines cannot do this across a resumption: a resumed attempt has not generated the first half of a stop string
+// itself. The generation therefore does the matching, and the engines do not receive the stop strings.
 #pragma once
 
 #include <cstddef>
@@ -15,11 +15,11 @@
 // Not thread-safe: the owner's lock protects it. Keeps only the end of the text that can still be part of a match.
 class StopMatcher {
 public:
-    // Stop strings must not be empty; with none at all nothing ever matches and nothing is held back.
+    // Stop strings must not be empty. Without stop strings nothing matches and no text is held back.
     explicit StopMatcher(std::vector<std::string> stops);
 
-    // Takes the next piece of text. Returns the offset in the whole text at which the earliest stop string begins, if
-    // the piece completes one.
+    // Adds the next piece of text. If it completes a stop string, returns the offset in the whole text at which the
+    // earliest one begins.
     std::optional<std::size_t> feed(std::string_view piece);
 
     // Text before this offset can no longer become part of a stop string.
--- a/include/lupinknot/Token.h
+++ b/include/lupinknot/Token.h
@@ -8,8 +8,8 @@
 
 using TokenId = std::int32_t;
 
-// The id is what a resumed attempt is given as its prefix; the text is what the caller reads. Text is never split into
-// tokens again, because that could give other ids.
+// A resumed attempt gets the ids as its prefix; the caller reads the text. Text is never tokenized again, because that
+// could give other ids.
 struct Token {
     TokenId id { 0 };
     std::string text;
--- a/src/core/EndpointPulse.cpp
+++ b/src/core/EndpointPulse.cpp
@@ -44,7 +44,7 @@
 
 EndpointPulse::Limits EndpointPulse::limits(const StreamActivity& activity) const
 {
-    // A token of another stream is as good a sign of life as one of this stream.
+    // A token of any stream on the endpoint proves that the endpoint is alive.
     const auto lastSign = std::max(m_lastToken, activity.lastActivity);
     if (activity.hasToken)
         return { lastSign + m_detector->patience(), activity.lastActivity + m_settings.loneStreamPatience };
--- a/src/core/Generation.cpp
+++ b/src/core/Generation.cpp
@@ -67,7 +67,7 @@
     }
 }
 
-// Drops the text from an offset on: the token that holds the offset is shortened, later ones go.
+// Removes the text from an offset on: shortens the token that contains the offset and removes the later ones.
 void Generation::cutAt(std::size_t textOffset)
 {
     auto kept = m_releasedLength;
--- a/src/core/GenerationDriver.cpp
+++ b/src/core/GenerationDriver.cpp
@@ -69,7 +69,8 @@
     return result;
 }
 
-// The last attempt keeps its number when it is cancelled, so the generation alone would still take its tokens.
+// A cancelled attempt stays the generation's current one if no other follows, so the generation alone would still
+// accept its tokens.
 AppendResult GenerationDriver::refusalOfStale() const
 {
     return m_generation.isEnded() ? AppendResult::AlreadyEnded : AppendResult::NotCurrentAttempt;
@@ -144,7 +145,7 @@
 
 void GenerationDriver::tryNextAttempt(Milliseconds now)
 {
-    // Endpoints that turn the work away at once must not keep it going round for ever.
+    // Limits the time spent on endpoints that reject the work at once, which would otherwise be retried without end.
     const bool isWaitOver = now - m_waitingSince > m_settings.endpointWait;
     if (isWaitOver) {
         giveUp(GenerationErrorCode::NoEndpoint);
@@ -201,7 +202,7 @@
         ++m_recovery.attemptsBegun;
         m_waitingSince = now;
     }
-    // The gap that a caller sees begins at the last token, however many attempts fail before the next one.
+    // The gap that a caller sees begins at the last token, however many attempts fail before the next token.
     if (!m_loss)
         m_loss = Loss { failure, m_running.activity.lastActivity, now };
     m_avoid.push_back(m_running.endpoint.name);
--- a/src/core/ReplicaStore.cpp
+++ b/src/core/ReplicaStore.cpp
@@ -15,7 +15,7 @@
         const bool isSameRunner = held.runner == record.runner;
         if (!isSameRunner || found->second.isSealed)
             return JournalResult::Refused;
-        // Callers may have seen the tokens that are held; the runner is about to send them again.
+        // The tokens held are kept, because callers may have seen them. The runner is about to send them again.
         if (held.request.generation == record.request.generation) {
             found->second.orphanedAt.reset();
             return JournalResult::Applied;
--- a/src/core/SilenceDetector.cpp
+++ b/src/core/SilenceDetector.cpp
@@ -8,10 +8,10 @@
 
 namespace internal {
 
-// The last gaps of an endpoint, oldest overwritten first.
+// The most recent gaps between tokens. A new gap overwrites the oldest one.
 class GapWindow {
 public:
-    // With fewer gaps than needed the distribution says little.
+    // With fewer gaps than needed the distribution is not meaningful.
     GapWindow(std::size_t capacity, std::size_t needed)
         : m_capacity(capacity)
         , m_needed(needed)
@@ -49,8 +49,8 @@
     SilenceBounds m_bounds;
 };
 
-// Base of the detectors that learn: computes the patience anew after a number of gaps, not after each. Until it knows
-// enough gaps, the ceiling holds.
+// Base of the detectors that learn. Recomputes the timeout once per a number of gaps instead of after each gap. Returns
+// the ceiling until it knows enough gaps.
 class LearningDetector : public SilenceDetector {
 public:
     LearningDetector(SilenceBounds bounds, GapWindow window)
@@ -128,7 +128,7 @@
     }
 
 private:
-    // Standard deviations beyond the mean at which phi is 8, that is a chance of 1e-8 for a normal distribution.
+    // Number of standard deviations above the mean at which phi is 8: a probability of 1e-8 for a normal distribution.
     static constexpr double deviationsAtPhi8 = 5.61;
 
     Milliseconds estimate(const std::vector<std::int64_t>& gaps) const override
--- a/src/core/StopMatcher.cpp
+++ b/src/core/StopMatcher.cpp
@@ -20,7 +20,7 @@
     if (earliest != std::string::npos)
         return m_tailOffset + earliest;
 
-    // Only text that a later piece could complete to a stop string is kept.
+    // Keeps only text that a later piece could complete to a stop string.
     const auto settled = m_tail.size() - heldLength();
     m_tail.erase(0, settled);
     m_tailOffset += settled;
--- a/test/FakeAttemptHost.h
+++ b/test/FakeAttemptHost.h
@@ -1,4 +1,4 @@
-// An AttemptHost that records what it is asked for.
+// An AttemptHost that records the requests made to it.
 #pragma once
 
 #include "lupinknot/AttemptHost.h"
--- a/test/GenerationDriverTest.cpp
+++ b/test/GenerationDriverTest.cpp
@@ -276,7 +276,7 @@
     LONGS_EQUAL(40, host.resumptions[0].sinceDetection.count());
 }
 
-// A cancelled attempt can still have tokens on their way. Taking them would go on with work that was stopped.
+// Tokens of a cancelled attempt can still be on their way. Accepting them would continue work that was stopped.
 TEST(GenerationDriver, RefusesTokensOfItsLastAttemptOnceItIsStopped)
 {
     const GenerationErrorCode reasons[] = { GenerationErrorCode::Abandoned, GenerationErrorCode::TakenOver };
--- a/test/MonotonicClockTest.cpp
+++ b/test/MonotonicClockTest.cpp
@@ -7,7 +7,7 @@
 
 TEST_GROUP(MonotonicClock) {};
 
-// Time for which the machine was suspended is part of the time since boot, and not of the steady clock.
+// The time since boot includes the time for which the machine was suspended; the steady clock does not.
 TEST(MonotonicClock, CountsTheTimeSinceBootWithAllSuspensions)
 {
     const auto sinceBoot = [] {
--- a/test/ReplicaStoreTest.cpp
+++ b/test/ReplicaStoreTest.cpp
@@ -136,8 +136,8 @@
     LONGS_EQUAL(0, store.size());
 }
 
-// After a lost link the runner sends everything again; were the record emptied first and the runner lost in between,
-// callers would have seen more than anybody holds.
+// After a lost connection the runner sends everything again. If open() emptied the record and the runner were lost
+// before it had sent all tokens again, callers would have seen tokens that no VM holds.
 TEST(ReplicaStore, KeepsItsTokensWhenItsRunnerOpensItAgain)
 {
     store.open(1, record());
