--- a/src/rollout/ExposureBudget.cpp
+++ b/src/rollout/ExposureBudget.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// The rest covers what VMs round up, and what the candidate receives after it has been completed.
+// The rest covers the requests that VMs round up and those that the candidate receives after it has been completed.
 constexpr double spentShare = 0.8;
 
 } // namespace
--- a/src/rollout/Rollout.h
+++ b/src/rollout/Rollout.h
@@ -1,16 +1,16 @@
-// One service's roll-out as one VM takes part in it: which version a request goes to, what its answers have shown, and
-// what this VM has been told.
+// One VM's part in the rollout of one service: which version a request goes to, what the answers have shown, and what
+// this VM has been told.
 //
-// While an order is undecided a VM sends some requests to the candidate (ExposureBudget), but only as long as a VM that
-// gathers all evidence has lately said that it may (RolloutGatherer): one that is cut off sends none, so that none
-// arrives long after the others know better. What a gatherer or the store says against the candidate holds for good.
+// While an order is undecided, a VM sends some requests to the candidate (ExposureBudget), but only while an aggregator
+// of the evidence (RolloutGatherer) has recently permitted it. A VM that is cut off sends none, so that none arrives
+// long after the other VMs know better. A verdict of an aggregator or the store against the candidate is final.
 //
-//     Rollout rollout(order, { limit, slackShare, vmName }, now);
+//     Rollout rollout(order, { limit, slackShare, vmName });
 //     rollout.noteRequest();
-//     const auto choice = rollout.choose(now);                 // For each request, before its first sending.
+//     const auto choice = rollout.choose(now);                 // For each request, before it is first sent.
 //     rollout.noteAnswer(route, RunnerVersion::Candidate, AnswerQuality::Good);
-//     rollout.hear(word, now);                                 // A gatherer's answer to what this VM has told it.
-//     rollout.decide(RolloutDecision::Completed, now);         // The store's record.
+//     rollout.hear(directive, now);                            // An aggregator's answer to this VM's evidence.
+//     rollout.decide(RolloutDecision::Completed, now);         // The decision recorded in the store.
 //
 // Used on the relay's thread only.
 #pragma once
@@ -22,11 +22,11 @@
 
 namespace lupinknot::internal {
 
-// What a gatherer says of an order.
+// What an aggregator tells the VMs to do about an order.
 enum class GathererWord {
-    Try, // The evidence is open: a bounded part of the requests may go to the candidate.
-    Ready, // The candidate is good and about to be completed: copies of runs should lie with it.
-    Stop, // The candidate is bad: nothing may go to it any more.
+    Try, // The evidence is inconclusive: a bounded part of the requests may go to the candidate.
+    Ready, // The candidate is good and about to be completed: copies of runs should be placed on it.
+    Stop, // The candidate is bad: no request may go to it any more.
 };
 
 inline constexpr std::array<EnumName<GathererWord>, 3> gathererWordNames { {
@@ -35,7 +35,7 @@
     { GathererWord::Stop, "stop" },
 } };
 
-// What a VM takes part with.
+// The limits with which a VM takes part.
 struct RolloutTerms {
     ExposureLimit limit;
     double slackShare { 0 };
@@ -47,7 +47,7 @@
     Rollout(RolloutOrder, const RolloutTerms&);
 
     const RolloutOrder& order() const { return m_order; }
-    // The order has been written again after its store had lost it.
+    // Takes the position of an order that was written again after its store had lost it.
     void moveTo(const HistoryPosition&);
     RolloutDecision decision() const { return m_decision; }
     bool isStopped() const { return m_isStopped; }
@@ -55,24 +55,24 @@
     unsigned exposed() const { return m_budget.taken(); }
 
     void noteRequest() { m_budget.noteRequest(); }
-    // Which runners a new request may go to; counts one that goes to the candidate as exposed.
+    // Which runners a new request may go to. Counts a request that goes to the candidate as exposed.
     VersionChoice choose(Milliseconds now);
-    // The same for a request that goes on after something failed, or anything else that must not go to an undecided
+    // The same for a request that continues after a failure, or for any other that must not go to an undecided
     // candidate.
     VersionChoice proven(Milliseconds now) const;
-    // Where copies of runs are to lie.
+    // Which runners copies of runs should be placed on.
     VersionChoice forCopies(Milliseconds now) const;
     void noteAnswer(const std::string& route, RunnerVersion, AnswerQuality);
 
     void hear(GathererWord, Milliseconds now);
-    // The first decision stays.
+    // Only the first decision counts.
     void decide(RolloutDecision, Milliseconds now);
 
-    // How long a gatherer's permission holds. VMs tell their evidence several times within it, and a roll-back has to
-    // reach every VM within the deployment's time, some seconds.
+    // How long an aggregator's permission lasts. VMs report their evidence several times within it, and a rollback has
+    // to reach every VM within the deployment's time, some seconds.
     static constexpr Milliseconds permissionHolds { 1500 };
-    // How long the runners of a version that was replaced are left out: the list names them for some seconds more.
-    // After that versions are told apart no more, since the next ones may come without an order.
+    // How long the runners of a replaced version are excluded: the endpoint list still names them for some seconds.
+    // After that versions are no longer distinguished, since the next ones may come without an order.
     static constexpr Milliseconds replacedLeaveWithin { 10000 };
 
 private:
--- a/src/rollout/RolloutGatherer.h
+++ b/src/rollout/RolloutGatherer.h
@@ -1,9 +1,10 @@
-// Gathers what all VMs have seen of a candidate version and says what they may do with it.
+// Aggregates what all VMs have seen of a candidate version and tells them what they may do with it.
 //
-// A few VMs gather, the first of each availability zone, each on its own; every VM tells all of them. None of them is a
-// leader: each judges by what it has heard, one that judges the candidate bad stops every VM that it reaches, and the
-// decision is made by whoever writes it into the platform's store first, under the condition that none is there. So
-// nothing depends on a gatherer that dies, pauses or is cut off, or on the gatherers' agreement.
+// A few VMs are aggregators, the first of each availability zone, independently of each other; every VM reports to all
+// of them. None of them is a leader. Each judges by the reports that it has received, and one that judges the candidate
+// bad stops every VM that it reaches. The decision is made by the first one that writes it into the platform's store,
+// on condition that the store holds none. The rollout therefore does not depend on an aggregator that dies, pauses or
+// is cut off, or on agreement between the aggregators.
 //
 //     RolloutGatherer gatherer(order, now);
 //     gatherer.take("vm-1/17", evidence, isStopped);           // What a process of a VM has counted since its start.
@@ -23,30 +24,31 @@
 public:
     RolloutGatherer(const RolloutOrder&, Milliseconds now);
 
-    // Counts only grow: an older account of the same process changes nothing. One VM's word that the candidate is
-    // stopped is another gatherer's judgement, passed on.
+    // Adds a report of a process. Counts only grow, so an older report of the same process changes nothing. A VM whose
+    // candidate is stopped passes on another aggregator's verdict.
     void take(const std::string& process, const VersionEvidence&, bool isStopped);
     GathererWord word(Milliseconds now);
-    // The decision that should be written now; nothing while there is none.
+    // The decision that should be written now; empty while there is none.
     std::optional<RolloutDecision> wanted(Milliseconds now);
     VersionEvidence evidence() const;
     std::size_t processCount() const { return m_byProcess.size(); }
 
-    // The share of the order's time that is left when a good candidate is completed. Until then it gets no more than
-    // its part, so that one that turns bad late has received little; what is left is for the store's answer.
+    // The share of the order's duration that remains when a good candidate is completed. Until then the candidate gets
+    // no more than its part, so that one that turns bad late has received few requests. The remaining time is for the
+    // store's answer.
     static constexpr double leftAtCompletion = 0.1;
-    // The same for one that is only acceptable, and for rolling one back of which too little is known: a gatherer that
-    // has heard of few VMs leaves the decision to the others for as long as there is time.
+    // The same for a candidate that is only acceptable, and for the rollback of one with too little evidence: an
+    // aggregator that has heard from few VMs leaves the decision to the others as long as there is time.
     static constexpr double leftAtAcceptance = 0.07;
     static constexpr double leftAtRollBack = 0.03;
-    // The same when VMs begin to lay copies of running streams with a candidate that looks good: the runs of the
-    // present version end with its runners, and most streams are shorter than what is left then.
+    // The same when VMs begin to place copies of running streams on a candidate that looks good: the runs of the
+    // present version end with its runners, and most streams are shorter than the time that remains then.
     static constexpr double leftWhenReady = 0.45;
-    // No account of more processes is kept: what several hundred VMs are that each start again now and then.
+    // Reports of more processes are ignored: several hundred VMs that each restart now and then stay below this number.
     static constexpr std::size_t mostProcesses = 2000;
 
 private:
-    // The instant at which so much of the order's time is left.
+    // The instant at which that share of the order's duration remains.
     Milliseconds instantWith(double leftShare) const;
     void update();
 
--- a/src/rollout/RolloutJudge.cpp
+++ b/src/rollout/RolloutJudge.cpp
@@ -7,29 +7,33 @@
 
 namespace {
 
-// A bad version's share of bad answers beyond the present one's, of those that are left. Bad versions fail a share that
-// callers notice; a smaller difference cannot be told within a tenth of the requests.
+// How much greater a bad version's share of bad answers is than the present version's, as a share of the rest up to 1.
+// Bad versions fail a share that callers notice. A smaller difference cannot be detected within a tenth of the
+// requests.
 constexpr double greaterByShare = 0.2;
-// As long as the present version has shown little, its share of bad answers is taken for this.
+// Prior for the present version's share of bad answers. It only matters while the present version has few answers.
 constexpr double usualBadShare = 0.02;
 constexpr double usualAnswers = 20;
 constexpr double deviations = 1.5;
-// Either side has to be this many times as likely: one order in a thousand may go wrong.
+// One hypothesis has to be this many times as likely as the other, so that one order in a thousand may be decided
+// wrongly.
 const double decisive = std::log(1000.0);
-// A single route is judged bad by the same evidence, and good by less: it has a part of the answers only.
+// A single route needs the same evidence to be judged bad, but less to be judged good, because it has only a part of
+// the answers.
 const double decisiveForRoute = std::log(20.0);
-// Answers of the candidate without which nothing is acceptable.
+// A candidate with fewer answers is never acceptable.
 constexpr unsigned fewestAnswers = 20;
-// Answers of the present version without which the candidate is not judged: a service that fails for everyone would
+// With fewer answers of the present version the candidate is not judged bad: a service that fails for everyone would
 // look like a bad version.
 constexpr unsigned fewestToCompare = 50;
 
-// The logarithm of how much likelier the answers are from a bad version than from one like the present one.
+// Logarithm of the likelihood ratio: how much likelier the answers are from a bad version than from one like the
+// present version.
 double evidenceAgainst(const RouteEvidence& counts)
 {
     const double answers = counts.present.answers + usualAnswers;
     const double seen = (counts.present.bad + usualBadShare * usualAnswers) / answers;
-    // Few answers may show less than there is: the share is taken some deviations higher.
+    // With few answers the observed share may be too low, so the baseline is some standard deviations above it.
     const double usual = seen + deviations * std::sqrt(seen * (1 - seen) / answers);
     const double greater = usual + greaterByShare * (1 - usual);
     const double bad = counts.candidate.bad;
@@ -48,7 +52,7 @@
     for (const auto& [route, counts] : evidence.routes()) {
         const auto onRoute = evidenceAgainst(counts);
         isBad = isBad || (canBeBad(counts) && onRoute >= decisive);
-        // A route without callers shows nothing and hinders nothing.
+        // A route without callers gives no evidence and does not prevent a good verdict.
         isGood = isGood && (counts.present.answers == 0 || onRoute <= -decisiveForRoute);
     }
     return isBad ? Judgement::Bad : isGood ? Judgement::Good : Judgement::Open;
--- a/src/rollout/RolloutOrder.h
+++ b/src/rollout/RolloutOrder.h
@@ -1,5 +1,5 @@
-// An operator's order to move a service's traffic to the runners of another version. The runners of the present version
-// stay beside those of the new one, the candidate, until it is decided.
+// An operator's order to move a service's traffic to the runners of another version, the candidate. The runners of the
+// present version stay beside those of the candidate until the order is decided.
 #pragma once
 
 #include "common/HistoryPosition.h"
@@ -13,28 +13,28 @@
 
 struct RolloutOrder {
     std::string service;
-    // The version that is to take over.
+    // The version that should take over.
     std::string candidate;
-    // The time within which it is to be decided.
+    // The time within which the order must be decided.
     Milliseconds duration { 0 };
-    // Distinguishes orders for one service: later ones have greater revisions, or are of a later era of the store that
-    // holds them, which gives revisions out again.
+    // Distinguishes orders for one service: a later order has a greater revision, or belongs to a later era of the
+    // store that holds it. A new era of the store assigns the same revisions again.
     std::uint64_t revision { 0 };
     std::uint64_t era { 0 };
 
     HistoryPosition position() const { return { era, revision }; }
-    // The same content, whenever it was written.
+    // Compares the content, whenever it was written.
     bool asksSameAs(const RolloutOrder& other) const
     {
         return service == other.service && candidate == other.candidate && duration == other.duration;
     }
 };
 
-// What is decided of an order. Written once, a decision never changes.
+// The decision on an order. Once written, a decision never changes.
 enum class RolloutDecision {
     Undecided,
-    Completed, // The candidate serves alone; the present version's runners end at once.
-    RolledBack, // The present version serves alone; the candidate's runners leave.
+    Completed, // Only the candidate serves; the present version's runners end at once.
+    RolledBack, // Only the present version serves; the candidate's runners leave.
 };
 
 inline constexpr std::array<EnumName<RolloutDecision>, 3> rolloutDecisionNames { {
--- a/src/rollout/Rollouts.h
+++ b/src/rollout/Rollouts.h
@@ -1,6 +1,6 @@
-// The roll-outs that this VM takes part in, one a service.
+// The rollouts in which this VM takes part, one per service.
 //
-// Used on the relay's thread only. Lives for the process.
+// Used on the relay's thread only. Lives as long as the process.
 #pragma once
 
 #include "rollout/Rollout.h"
@@ -11,12 +11,12 @@
 
 class Rollouts {
 public:
-    // Begins to take part; a later order for the same service takes the place of an earlier one. Returns whether the
-    // order is new.
+    // Begins to take part. A later order for the same service replaces an earlier one. Returns whether the order is
+    // new.
     bool begin(const RolloutOrder&, const RolloutTerms&);
-    // The order is gone: versions are told apart no more.
+    // Removes the service's order; its versions are no longer distinguished.
     void end(const std::string& service) { m_byService.erase(service); }
-    // The service's roll-out, or null.
+    // The service's rollout, or null.
     Rollout* find(const std::string& service) const;
     const std::map<std::string, std::unique_ptr<Rollout>>& all() const { return m_byService; }
 
--- a/src/rollout/VersionChoice.h
+++ b/src/rollout/VersionChoice.h
@@ -1,4 +1,4 @@
-// Which runners of a service may take a request, by their version.
+// Which runners of a service may take a request, by version.
 #pragma once
 
 #include <string>
@@ -7,9 +7,9 @@
 
 struct VersionChoice {
     enum class Rule {
-        Any, // No roll-out is known.
-        Only, // Runners of the version alone.
-        Not, // All others.
+        Any, // No rollout is known.
+        Only, // Only runners of the version.
+        Not, // All runners except those of the version.
     };
 
     Rule rule { Rule::Any };
--- a/src/rollout/VersionEvidence.h
+++ b/src/rollout/VersionEvidence.h
@@ -1,10 +1,10 @@
-// What callers have seen of a candidate version and, at the same time, of the present one, by route: a version may be
-// bad on a single route.
+// What callers have seen of a candidate version and, over the same time, of the present one. Counts are kept by route,
+// because a version may be bad on a single route.
 //
 //     evidence.note("captions", RunnerVersion::Candidate, AnswerQuality::Bad);
-//     fleet.add(evidence);                                    // Counts of many VMs add up.
+//     fleet.add(evidence);                                    // Adds the counts of another VM.
 //
-// A value; thread-safe as such.
+// A plain value: separate instances can be used on separate threads.
 #pragma once
 
 #include <map>
--- a/test/RolloutTest.cpp
+++ b/test/RolloutTest.cpp
@@ -12,7 +12,7 @@
 
 const RolloutOrder order { "s", "v2", Milliseconds { 10000 }, 7 };
 
-// Evidence of one route.
+// Evidence of a single route.
 VersionEvidence seen(const AnswerCounts& present, const AnswerCounts& candidate, const std::string& route = "r")
 {
     VersionEvidence evidence;
@@ -25,7 +25,7 @@
 TEST_GROUP(Rollout)
 {
     Milliseconds now { 100000 };
-    // One VM of five, whose share of the fixed number is eight of fifty: 0.8 of ten.
+    // One VM of five. Its part of the fixed number of 50 is 10, of which it spends a share of 0.8: eight.
     const RolloutTerms terms { { 0.1, 50 }, 0.2, "" };
     Rollout rollout { order, terms };
 
@@ -51,10 +51,10 @@
 {
     rollout.hear(GathererWord::Try, now);
     const auto fixed = tryAll();
-    CHECK_TEXT(fixed == 8 || fixed == 9, "0.8 of a fifth of 50, rounded");
+    CHECK_TEXT(fixed == 8 || fixed == 9, "expected 0.8 of a fifth of 50, rounded up or down");
     for (int i = 0; i < 100; ++i)
         rollout.noteRequest();
-    LONGS_EQUAL_TEXT(8, tryAll(), "0.8 of a tenth of 100 requests");
+    LONGS_EQUAL_TEXT(8, tryAll(), "expected 0.8 of a tenth of 100 requests");
 }
 
 TEST(Rollout, APermissionEndsWhenNoGathererIsHeard)
@@ -86,7 +86,8 @@
     CHECK(rollout.proven(now).admits("v2"));
     CHECK_FALSE(rollout.proven(now).admits("v1"));
     now += Rollout::replacedLeaveWithin;
-    CHECK_TEXT(rollout.proven(now).admits("v3"), "the next version may come without an order");
+    CHECK_TEXT(
+        rollout.proven(now).admits("v3"), "expected another version to be admitted: it may come without an order");
 }
 
 TEST(Rollout, CopiesLieWithACandidateOnlyOnceItIsAboutToTakeOver)
