--- a/include/lupinknot/EndpointPulse.h
+++ b/include/lupinknot/EndpointPulse.h
@@ -16,9 +16,9 @@
     DetectorKind detector { DetectorKind::Maximum };
     SilenceBounds bounds;
     // How long one stream may be silent while other streams on the endpoint continue.
-    Milliseconds loneStreamPatience { 5000 };
+    Milliseconds loneStreamTimeout { 5000 };
     // How long the endpoint may be silent while a stream waits for its first token, which requires a prefill.
-    Milliseconds prefillPatience { 1200 };
+    Milliseconds prefillTimeout { 1200 };
     // How long a stream may wait for its first token on an endpoint that is alive.
     Milliseconds firstTokenTimeout { 10000 };
 };
@@ -50,11 +50,11 @@
 
 private:
     // The instants at which the silence of the endpoint and that of the stream become too long.
-    struct Limits {
+    struct Deadlines {
         Milliseconds endpoint;
         Milliseconds stream;
     };
-    Limits limits(const StreamActivity&) const;
+    Deadlines deadlinesOf(const StreamActivity&) const;
 
     const PulseSettings m_settings;
     mutable std::mutex m_mutex;
--- a/include/lupinknot/Generation.h
+++ b/include/lupinknot/Generation.h
@@ -61,8 +61,8 @@
 
 private:
     std::optional<AppendResult> refusal(AttemptNumber, std::size_t position) const;
-    void releaseSettled();
-    void cutAt(std::size_t textOffset);
+    void releaseSettledTokens();
+    void truncateTextAt(std::size_t textOffset);
     void end(FinishReason);
 
     GenerationLimits m_limits;
--- a/include/lupinknot/GenerationDriver.h
+++ b/include/lupinknot/GenerationDriver.h
@@ -90,14 +90,14 @@
     };
 
     bool isCurrent(AttemptNumber number) const { return m_state == State::Running && number == m_running.number; }
-    AppendResult refusalOfStale() const;
+    AppendResult resultForStaleAttempt() const;
     void tryNextAttempt(Milliseconds now);
     void beginAttempt(EndpointChoice, Milliseconds now, bool attaches);
     void waitForEndpoint(Milliseconds now);
     void noteToken(Milliseconds now);
     void reportResumption(Milliseconds now);
-    void loseAttempt(FailureKind, Milliseconds now);
-    void endRunning(std::optional<FailureKind>);
+    void handleFailedAttempt(FailureKind, Milliseconds now);
+    void endRunningAttempt(std::optional<FailureKind>);
     void checkSilence(Milliseconds now);
     void complete();
     void giveUp(GenerationErrorCode);
@@ -112,7 +112,7 @@
     Running m_running;
     std::optional<Loss> m_loss;
     std::optional<FailureKind> m_lastFailure;
-    std::vector<EndpointName> m_avoid;
+    std::vector<EndpointName> m_endpointsToAvoid;
     Milliseconds m_waitingSince { 0 };
     Milliseconds m_retryAt { 0 };
     std::optional<GenerationError> m_error;
--- a/include/lupinknot/ReplicaStore.h
+++ b/include/lupinknot/ReplicaStore.h
@@ -3,8 +3,8 @@
 // All rules that fence off an old runner are in this class:
 //  - A record that has been taken over is sealed: further items of its runner are refused. The runner shows its caller
 //    nothing that is not acknowledged, so it can show nothing more.
-//  - Items of an epoch below the minimum are refused. raiseFloor() sets the minimum from each view that this VM learns
-//  of.
+//  - Items of an epoch below the minimum are refused. raiseMinimumEpoch() takes the minimum from each view that this
+//    VM learns of.
 //  - A key has one record. A second runner for it is refused until the first one's record has been removed.
 //
 //     ReplicaStore store;
@@ -53,7 +53,7 @@
     // over.
     std::optional<ReplicaRecord> seal(const std::string& key, Milliseconds now);
     // Refuses all items of lower epochs from now on.
-    void raiseFloor(std::uint64_t epoch);
+    void raiseMinimumEpoch(std::uint64_t epoch);
     // Marks a runner as lost, or as back. Records without a runner, and those taken over, are removed by sweep() once
     // the retention time has passed.
     void runnerLost(const std::string& vm, Milliseconds now);
@@ -76,7 +76,7 @@
     mutable std::mutex m_mutex;
     // Both are protected by m_mutex.
     std::unordered_map<std::string, Entry> m_entries;
-    std::uint64_t m_floor { 0 };
+    std::uint64_t m_minimumEpoch { 0 };
 };
 
 } // namespace lupinknot
--- a/include/lupinknot/StopMatcher.h
+++ b/include/lupinknot/StopMatcher.h
@@ -26,10 +26,10 @@
     std::size_t settledOffset() const;
 
 private:
-    std::size_t heldLength() const;
+    std::size_t partialMatchLength() const;
 
     std::vector<std::string> m_stops;
-    std::size_t m_longest { 0 };
+    std::size_t m_longestStopLength { 0 };
     std::string m_tail;
     std::size_t m_tailOffset { 0 };
 };
--- a/src/core/EndpointPulse.cpp
+++ b/src/core/EndpointPulse.cpp
@@ -21,7 +21,7 @@
 PulseVerdict EndpointPulse::verdict(Milliseconds now, const StreamActivity& activity) const
 {
     const std::lock_guard lock(m_mutex);
-    const auto due = limits(activity);
+    const auto due = deadlinesOf(activity);
     if (now >= due.endpoint)
         return PulseVerdict::EndpointSilent;
     if (now >= due.stream)
@@ -32,7 +32,7 @@
 Milliseconds EndpointPulse::nextCheck(const StreamActivity& activity) const
 {
     const std::lock_guard lock(m_mutex);
-    const auto due = limits(activity);
+    const auto due = deadlinesOf(activity);
     return std::min(due.endpoint, due.stream);
 }
 
@@ -42,13 +42,13 @@
     return m_detector->patience();
 }
 
-EndpointPulse::Limits EndpointPulse::limits(const StreamActivity& activity) const
+EndpointPulse::Deadlines EndpointPulse::deadlinesOf(const StreamActivity& activity) const
 {
     // A token of any stream on the endpoint proves that the endpoint is alive.
-    const auto lastSign = std::max(m_lastToken, activity.lastActivity);
+    const auto lastEndpointActivity = std::max(m_lastToken, activity.lastActivity);
     if (activity.hasToken)
-        return { lastSign + m_detector->patience(), activity.lastActivity + m_settings.loneStreamPatience };
-    return { lastSign + m_settings.prefillPatience, activity.lastActivity + m_settings.firstTokenTimeout };
+        return { lastEndpointActivity + m_detector->patience(), activity.lastActivity + m_settings.loneStreamTimeout };
+    return { lastEndpointActivity + m_settings.prefillTimeout, activity.lastActivity + m_settings.firstTokenTimeout };
 }
 
 } // namespace lupinknot
--- a/src/core/Generation.cpp
+++ b/src/core/Generation.cpp
@@ -27,11 +27,11 @@
     const auto stop = m_stopMatcher.feed(token.text);
     m_tokens.push_back(std::move(token));
     if (stop) {
-        cutAt(*stop);
+        truncateTextAt(*stop);
         end(FinishReason::Stop);
         return AppendResult::Appended;
     }
-    releaseSettled();
+    releaseSettledTokens();
     if (m_tokens.size() == m_limits.maxTokens)
         end(FinishReason::Length);
     return AppendResult::Appended;
@@ -56,7 +56,7 @@
     return std::nullopt;
 }
 
-void Generation::releaseSettled()
+void Generation::releaseSettledTokens()
 {
     while (m_releasedLength < m_tokens.size()) {
         const auto tokenEnd = m_releasedOffset + m_tokens[m_releasedLength].text.size();
@@ -68,7 +68,7 @@
 }
 
 // Removes the text from an offset on: shortens the token that contains the offset and removes the later ones.
-void Generation::cutAt(std::size_t textOffset)
+void Generation::truncateTextAt(std::size_t textOffset)
 {
     auto kept = m_releasedLength;
     auto offset = m_releasedOffset;
--- a/src/core/GenerationDriver.cpp
+++ b/src/core/GenerationDriver.cpp
@@ -44,7 +44,7 @@
 AppendResult GenerationDriver::tokenArrived(AttemptNumber attempt, std::size_t position, Token token, Milliseconds now)
 {
     if (!isCurrent(attempt))
-        return refusalOfStale();
+        return resultForStaleAttempt();
     const auto result = m_generation.append(attempt, position, std::move(token));
     if (result == AppendResult::WrongPosition)
         attemptFailed(attempt, FailureKind::WrongPosition, now);
@@ -60,7 +60,7 @@
     AttemptNumber attempt, std::size_t position, FinishReason reason, Milliseconds now)
 {
     if (!isCurrent(attempt))
-        return refusalOfStale();
+        return resultForStaleAttempt();
     const auto result = m_generation.finish(attempt, position, reason);
     if (result == AppendResult::WrongPosition)
         attemptFailed(attempt, FailureKind::WrongPosition, now);
@@ -71,7 +71,7 @@
 
 // A cancelled attempt stays the generation's current one if no other follows, so the generation alone would still
 // accept its tokens.
-AppendResult GenerationDriver::refusalOfStale() const
+AppendResult GenerationDriver::resultForStaleAttempt() const
 {
     return m_generation.isEnded() ? AppendResult::AlreadyEnded : AppendResult::NotCurrentAttempt;
 }
@@ -79,7 +79,7 @@
 void GenerationDriver::attemptFailed(AttemptNumber attempt, FailureKind failure, Milliseconds now)
 {
     if (isCurrent(attempt))
-        loseAttempt(failure, now);
+        handleFailedAttempt(failure, now);
 }
 
 void GenerationDriver::tick(Milliseconds now)
@@ -138,7 +138,7 @@
     m_error.reset();
     m_request.deadline = deadline;
     m_loss.reset();
-    m_avoid.clear();
+    m_endpointsToAvoid.clear();
     m_waitingSince = now;
     tryNextAttempt(now);
 }
@@ -151,7 +151,7 @@
         giveUp(GenerationErrorCode::NoEndpoint);
         return;
     }
-    if (auto endpoint = m_host.chooseEndpoint(m_avoid)) {
+    if (auto endpoint = m_host.chooseEndpoint(m_endpointsToAvoid)) {
         beginAttempt(std::move(*endpoint), now, false);
         return;
     }
@@ -168,7 +168,7 @@
 void GenerationDriver::waitForEndpoint(Milliseconds now)
 {
     m_state = State::WaitingForEndpoint;
-    m_avoid.clear();
+    m_endpointsToAvoid.clear();
     m_retryAt = now + m_settings.endpointRetryInterval;
 }
 
@@ -191,10 +191,10 @@
     const auto position = m_generation.length() - 1;
     m_host.resumed({ m_running.number, m_loss->failure, position, now - m_loss->lastActivity, now - m_loss->detected });
     m_loss.reset();
-    m_avoid.clear();
+    m_endpointsToAvoid.clear();
 }
 
-void GenerationDriver::loseAttempt(FailureKind failure, Milliseconds now)
+void GenerationDriver::handleFailedAttempt(FailureKind failure, Milliseconds now)
 {
     m_lastFailure = failure;
     if (!traitsOf(failure).provesNotStarted) {
@@ -205,8 +205,8 @@
     // The gap that a caller sees begins at the last token, however many attempts fail before the next token.
     if (!m_loss)
         m_loss = Loss { failure, m_running.activity.lastActivity, now };
-    m_avoid.push_back(m_running.endpoint.name);
-    endRunning(failure);
+    m_endpointsToAvoid.push_back(m_running.endpoint.name);
+    endRunningAttempt(failure);
     if (nextStep(m_recovery, m_settings) == RecoveryStep::Retry) {
         tryNextAttempt(now);
         return;
@@ -215,7 +215,7 @@
     giveUp(isExhausted ? GenerationErrorCode::AttemptsExhausted : GenerationErrorCode::MayHaveRun);
 }
 
-void GenerationDriver::endRunning(std::optional<FailureKind> failure)
+void GenerationDriver::endRunningAttempt(std::optional<FailureKind> failure)
 {
     m_state = State::WaitingForEndpoint;
     m_host.cancelAttempt(m_running.number);
@@ -228,12 +228,12 @@
     if (verdict == PulseVerdict::Alive)
         return;
     const bool isFirstTokenLate = verdict == PulseVerdict::StreamSilent && !m_running.activity.hasToken;
-    loseAttempt(isFirstTokenLate ? FailureKind::FirstTokenTimeout : FailureKind::Silent, now);
+    handleFailedAttempt(isFirstTokenLate ? FailureKind::FirstTokenTimeout : FailureKind::Silent, now);
 }
 
 void GenerationDriver::complete()
 {
-    endRunning(std::nullopt);
+    endRunningAttempt(std::nullopt);
     m_state = State::Ended;
 }
 
@@ -242,7 +242,7 @@
     if (m_state == State::Running) {
         // The request was sent, and nothing proves that the endpoint has not begun.
         m_recovery.mayHaveStarted = true;
-        endRunning(std::nullopt);
+        endRunningAttempt(std::nullopt);
     }
     m_state = State::Ended;
     m_error = GenerationError { code, outcomeOf(m_recovery), describe(code) };
--- a/src/core/ReplicaStore.cpp
+++ b/src/core/ReplicaStore.cpp
@@ -7,7 +7,7 @@
 JournalResult ReplicaStore::open(std::uint64_t epoch, ReplicaRecord record)
 {
     const std::lock_guard lock(m_mutex);
-    if (epoch < m_floor)
+    if (epoch < m_minimumEpoch)
         return JournalResult::Refused;
     const auto found = m_entries.find(record.request.key);
     if (found != m_entries.end()) {
@@ -93,10 +93,10 @@
     return found->second.record;
 }
 
-void ReplicaStore::raiseFloor(std::uint64_t epoch)
+void ReplicaStore::raiseMinimumEpoch(std::uint64_t epoch)
 {
     const std::lock_guard lock(m_mutex);
-    m_floor = std::max(m_floor, epoch);
+    m_minimumEpoch = std::max(m_minimumEpoch, epoch);
 }
 
 void ReplicaStore::runnerLost(const std::string& vm, Milliseconds now)
@@ -138,11 +138,11 @@
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_entries.find(key);
-    if (epoch < m_floor || found == m_entries.end())
+    if (epoch < m_minimumEpoch || found == m_entries.end())
         return JournalResult::Refused;
     auto& entry = found->second;
-    const bool isShut = entry.isSealed || !(entry.record.runner == runner);
-    return isShut ? JournalResult::Refused : change(entry.record);
+    const bool isFenced = entry.isSealed || !(entry.record.runner == runner);
+    return isFenced ? JournalResult::Refused : change(entry.record);
 }
 
 } // namespace lupinknot
--- a/src/core/SilenceDetector.cpp
+++ b/src/core/SilenceDetector.cpp
@@ -11,10 +11,10 @@
 // The most recent gaps between tokens. A new gap overwrites the oldest one.
 class GapWindow {
 public:
-    // With fewer gaps than needed the distribution is not meaningful.
-    GapWindow(std::size_t capacity, std::size_t needed)
+    // With fewer gaps than minimumCount the distribution is not meaningful.
+    GapWindow(std::size_t capacity, std::size_t minimumCount)
         : m_capacity(capacity)
-        , m_needed(needed)
+        , m_minimumCount(minimumCount)
     {
     }
 
@@ -26,12 +26,12 @@
             m_gaps[m_next] = gap.count();
         m_next = (m_next + 1) % m_capacity;
     }
-    bool isWarm() const { return m_gaps.size() >= m_needed; }
+    bool hasEnoughGaps() const { return m_gaps.size() >= m_minimumCount; }
     const std::vector<std::int64_t>& gaps() const { return m_gaps; }
 
 private:
     std::size_t m_capacity;
-    std::size_t m_needed;
+    std::size_t m_minimumCount;
     std::vector<std::int64_t> m_gaps;
     std::size_t m_next { 0 };
 };
@@ -63,9 +63,9 @@
     void observe(Milliseconds gap) override
     {
         m_window.add(gap);
-        if (++m_sinceUpdate < updateInterval || !m_window.isWarm())
+        if (++m_gapsSinceUpdate < gapsPerUpdate || !m_window.hasEnoughGaps())
             return;
-        m_sinceUpdate = 0;
+        m_gapsSinceUpdate = 0;
         m_patience = std::clamp(estimate(m_window.gaps()), m_bounds.floor, m_bounds.ceiling);
     }
 
@@ -75,12 +75,12 @@
     virtual Milliseconds estimate(const std::vector<std::int64_t>& gaps) const = 0;
 
 private:
-    static constexpr unsigned updateInterval = 16;
+    static constexpr unsigned gapsPerUpdate = 16;
 
     SilenceBounds m_bounds;
     GapWindow m_window;
     Milliseconds m_patience;
-    unsigned m_sinceUpdate { 0 };
+    unsigned m_gapsSinceUpdate { 0 };
 };
 
 class QuantileDetector final : public LearningDetector {
--- a/src/core/View.cpp
+++ b/src/core/View.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-struct Ranked {
+struct RankedMember {
     std::uint64_t weight;
     const ViewMember* member;
 };
 
-bool isMoreResponsible(const Ranked& a, const Ranked& b)
+bool ranksHigher(const RankedMember& a, const RankedMember& b)
 {
     if (a.weight != b.weight)
         return a.weight > b.weight;
@@ -36,11 +36,11 @@
 std::vector<ViewMember> rankMembers(const View& view, std::string_view key)
 {
     const auto keyHash = XXH3_64bits(key.data(), key.size());
-    std::vector<Ranked> ranked;
+    std::vector<RankedMember> ranked;
     ranked.reserve(view.members.size());
     for (const auto& member : view.members)
         ranked.push_back({ XXH3_64bits_withSeed(member.vm.data(), member.vm.size(), keyHash), &member });
-    std::sort(ranked.begin(), ranked.end(), isMoreResponsible);
+    std::sort(ranked.begin(), ranked.end(), ranksHigher);
     std::vector<ViewMember> members;
     members.reserve(ranked.size());
     for (const auto& entry : ranked)
--- a/test/GenerationDriverTest.cpp
+++ b/test/GenerationDriverTest.cpp
@@ -34,7 +34,7 @@
         return { { { maxTokens, {} }, repeatable, at(deadline) }, settings, host };
     }
 
-    void giveTokens(
+    void deliverTokens(
         GenerationDriver & driver, AttemptNumber attempt, std::size_t first, std::size_t count, std::int64_t now)
     {
         for (auto position = first; position < first + count; ++position)
@@ -42,31 +42,31 @@
     }
 };
 
-TEST(GenerationDriver, RunsOnOneEndpointToItsEnd)
+TEST(GenerationDriver, CompletesOnOneEndpoint)
 {
     auto driver = makeDriver();
     driver.start(at(0));
-    giveTokens(driver, 1, 0, maxTokens, 10);
+    deliverTokens(driver, 1, 0, maxTokens, 10);
     CHECK(driver.isOver());
     CHECK_FALSE(driver.error());
     LONGS_EQUAL(1, host.orders.size());
 }
 
-TEST(GenerationDriver, ResumesElsewhereFromItsLength)
+TEST(GenerationDriver, ResumesOnAnotherEndpointFromItsLength)
 {
     auto driver = makeDriver();
     driver.start(at(0));
-    giveTokens(driver, 1, 0, 2, 10);
+    deliverTokens(driver, 1, 0, 2, 10);
     driver.attemptFailed(1, FailureKind::ConnectionLost, at(20));
     LONGS_EQUAL(2, host.orders.size());
     LONGS_EQUAL(2, host.orders[1].position);
     STRCMP_EQUAL("e2", host.orders[1].endpoint.c_str());
-    giveTokens(driver, 2, 2, 2, 30);
+    deliverTokens(driver, 2, 2, 2, 30);
     CHECK(driver.isOver());
     CHECK_FALSE(driver.error());
 }
 
-TEST(GenerationDriver, CancelsAnAttemptThatItGivesUp)
+TEST(GenerationDriver, CancelsAFailedAttempt)
 {
     auto driver = makeDriver();
     driver.start(at(0));
@@ -75,11 +75,11 @@
     LONGS_EQUAL(1, host.cancelled[0]);
 }
 
-TEST(GenerationDriver, RefusesTokensOfAnAttemptThatWakesUp)
+TEST(GenerationDriver, RefusesLateTokensOfASupersededAttempt)
 {
     auto driver = makeDriver();
     driver.start(at(0));
-    giveTokens(driver, 1, 0, 1, 10);
+    deliverTokens(driver, 1, 0, 1, 10);
     driver.attemptFailed(1, FailureKind::Silent, at(500));
     const auto result = driver.tokenArrived(1, 1, { 7, "late" }, at(501));
     STRCMP_EQUAL("not-current-attempt", std::string(nameIn(appendResultNames, result)).c_str());
@@ -95,11 +95,11 @@
     LONGS_EQUAL(2, host.orders.size());
 }
 
-TEST(GenerationDriver, TakesATokenAtAWrongPositionAsALoss)
+TEST(GenerationDriver, TreatsATokenAtAWrongPositionAsAFailedAttempt)
 {
     auto driver = makeDriver();
     driver.start(at(0));
-    giveTokens(driver, 1, 0, 1, 10);
+    deliverTokens(driver, 1, 0, 1, 10);
     driver.tokenArrived(1, 2, { 9, "skipped one" }, at(20));
     LONGS_EQUAL(2, host.orders.size());
     LONGS_EQUAL(1, host.orders[1].position);
@@ -109,17 +109,17 @@
 {
     auto driver = makeDriver();
     driver.start(at(0));
-    giveTokens(driver, 1, 0, maxTokens, 10);
+    deliverTokens(driver, 1, 0, maxTokens, 10);
     driver.attemptFailed(1, FailureKind::ConnectionLost, at(11));
     CHECK_FALSE(driver.error());
     LONGS_EQUAL(1, host.orders.size());
 }
 
-TEST(GenerationDriver, NoticesASilentEndpoint)
+TEST(GenerationDriver, DetectsASilentEndpoint)
 {
     auto driver = makeDriver();
     driver.start(at(0));
-    giveTokens(driver, 1, 0, 1, 10);
+    deliverTokens(driver, 1, 0, 1, 10);
     driver.tick(at(10) + host.pulseSettings.bounds.ceiling - at(1));
     LONGS_EQUAL(1, host.orders.size());
     driver.tick(at(10) + host.pulseSettings.bounds.ceiling);
@@ -127,19 +127,19 @@
     STRCMP_EQUAL("silent", host.lastFailure().c_str());
 }
 
-TEST(GenerationDriver, TellsWhenItWantsToBeAsked)
+TEST(GenerationDriver, NextTickIsTheEndOfTheSilenceTimeout)
 {
     auto driver = makeDriver();
     driver.start(at(0));
-    giveTokens(driver, 1, 0, 1, 10);
+    deliverTokens(driver, 1, 0, 1, 10);
     CHECK(driver.nextTick() == at(10) + host.pulseSettings.bounds.ceiling);
 }
 
-TEST(GenerationDriver, WaitsForAnEndpointAndTakesItWhenItIsBack)
+TEST(GenerationDriver, ResumesWhenAnEndpointBecomesAvailable)
 {
     auto driver = makeDriver();
     driver.start(at(0));
-    giveTokens(driver, 1, 0, 1, 10);
+    deliverTokens(driver, 1, 0, 1, 10);
     host.available.clear();
     driver.attemptFailed(1, FailureKind::ConnectionLost, at(20));
     CHECK_FALSE(driver.isOver());
@@ -148,7 +148,7 @@
     STRCMP_EQUAL("e9", host.orders.back().endpoint.c_str());
 }
 
-TEST(GenerationDriver, GivesUpWhenNoEndpointComesBackInTime)
+TEST(GenerationDriver, GivesUpWhenNoEndpointBecomesAvailableInTime)
 {
     auto driver = makeDriver();
     host.available.clear();
@@ -160,7 +160,7 @@
     STRCMP_EQUAL("not-run", outcomeName(driver).c_str());
 }
 
-TEST(GenerationDriver, GivesUpWhenEveryEndpointTurnsItAwayForTooLong)
+TEST(GenerationDriver, GivesUpWhenEveryEndpointRejectsTheWorkForTooLong)
 {
     auto driver = makeDriver();
     driver.start(at(0));
@@ -171,7 +171,7 @@
     STRCMP_EQUAL("not-run", outcomeName(driver).c_str());
 }
 
-TEST(GenerationDriver, DoesNotCountAttemptsThatWereTurnedAway)
+TEST(GenerationDriver, DoesNotCountAttemptsThatWereRejected)
 {
     auto driver = makeDriver();
     driver.start(at(0));
@@ -181,7 +181,7 @@
     LONGS_EQUAL(10, host.orders.size());
 }
 
-TEST(GenerationDriver, GivesUpAfterItsAttempts)
+TEST(GenerationDriver, GivesUpAfterTheMaximumNumberOfAttempts)
 {
     auto driver = makeDriver();
     driver.start(at(0));
@@ -193,7 +193,7 @@
     STRCMP_CONTAINS("malformed-event", driver.error()->message.c_str());
 }
 
-TEST(GenerationDriver, NeverStartsUnrepeatableWorkOverFromNothing)
+TEST(GenerationDriver, NeverRestartsUnrepeatableWorkWithoutTokens)
 {
     auto driver = makeDriver(false);
     driver.start(at(0));
@@ -203,7 +203,7 @@
     LONGS_EQUAL(1, host.orders.size());
 }
 
-TEST(GenerationDriver, StartsUnrepeatableWorkElsewhereWhenItWasNotBegun)
+TEST(GenerationDriver, RetriesUnrepeatableWorkThatDidNotStart)
 {
     auto driver = makeDriver(false);
     driver.start(at(0));
@@ -216,17 +216,17 @@
 {
     auto driver = makeDriver(false);
     driver.start(at(0));
-    giveTokens(driver, 1, 0, 1, 10);
+    deliverTokens(driver, 1, 0, 1, 10);
     driver.attemptFailed(1, FailureKind::ConnectionLost, at(20));
     LONGS_EQUAL(2, host.orders.size());
     LONGS_EQUAL(1, host.orders[1].position);
 }
 
-TEST(GenerationDriver, GivesUpAtItsDeadlineAndCancels)
+TEST(GenerationDriver, GivesUpAndCancelsAtItsDeadline)
 {
     auto driver = makeDriver(true, 50);
     driver.start(at(0));
-    giveTokens(driver, 1, 0, 1, 10);
+    deliverTokens(driver, 1, 0, 1, 10);
     driver.tick(at(50));
     STRCMP_EQUAL("deadline_exceeded", errorName(driver).c_str());
     LONGS_EQUAL(1, host.cancelled.size());
@@ -236,24 +236,24 @@
 {
     auto driver = makeDriver();
     driver.start(at(0));
-    giveTokens(driver, 1, 0, 2, 10);
+    deliverTokens(driver, 1, 0, 2, 10);
     driver.abandon();
     LONGS_EQUAL(1, host.cancelled.size());
     LONGS_EQUAL(2, driver.generation().length());
 }
 
-TEST(GenerationDriver, GoesOnFromItsTokensWhenRevived)
+TEST(GenerationDriver, ContinuesAbandonedWorkFromItsTokens)
 {
     auto driver = makeDriver();
     driver.start(at(0));
-    giveTokens(driver, 1, 0, 2, 10);
+    deliverTokens(driver, 1, 0, 2, 10);
     driver.abandon();
     driver.revive(at(500), at(100000));
     CHECK_FALSE(driver.error());
     LONGS_EQUAL(2, host.orders.back().position);
 }
 
-TEST(GenerationDriver, DoesNotReviveUnrepeatableWorkThatMayHaveBegun)
+TEST(GenerationDriver, DoesNotContinueAbandonedUnrepeatableWorkThatMayHaveBegun)
 {
     auto driver = makeDriver(false);
     driver.start(at(0));
@@ -263,29 +263,29 @@
     STRCMP_EQUAL("unknown", outcomeName(driver).c_str());
 }
 
-TEST(GenerationDriver, ReportsTheWholeGapOfTwoLossesInARow)
+TEST(GenerationDriver, ReportsOneGapForTwoConsecutiveFailures)
 {
     auto driver = makeDriver();
     driver.start(at(0));
-    giveTokens(driver, 1, 0, 1, 100);
+    deliverTokens(driver, 1, 0, 1, 100);
     driver.attemptFailed(1, FailureKind::ConnectionLost, at(110));
     driver.attemptFailed(2, FailureKind::ConnectionLost, at(130));
-    giveTokens(driver, 3, 1, 1, 150);
+    deliverTokens(driver, 3, 1, 1, 150);
     LONGS_EQUAL(1, host.resumptions.size());
     LONGS_EQUAL(50, host.resumptions[0].gap.count());
     LONGS_EQUAL(40, host.resumptions[0].sinceDetection.count());
 }
 
 // Tokens of a cancelled attempt can still be on their way. Accepting them would continue work that was stopped.
-TEST(GenerationDriver, RefusesTokensOfItsLastAttemptOnceItIsStopped)
+TEST(GenerationDriver, RefusesTokensOfItsLastAttemptAfterItWasStopped)
 {
     const GenerationErrorCode reasons[] = { GenerationErrorCode::Abandoned, GenerationErrorCode::TakenOver };
     for (const auto reason : reasons) {
         auto driver = makeDriver();
         driver.start(at(0));
-        giveTokens(driver, 1, 0, 1, 10);
+        deliverTokens(driver, 1, 0, 1, 10);
         driver.stop(reason);
-        giveTokens(driver, 1, 1, maxTokens - 1, 20);
+        deliverTokens(driver, 1, 1, maxTokens - 1, 20);
         LONGS_EQUAL(1, driver.generation().length());
         const auto result = driver.attemptFinished(1, 1, FinishReason::Stop, at(20));
         STRCMP_EQUAL("not-current-attempt", std::string(nameIn(appendResultNames, result)).c_str());
@@ -298,6 +298,6 @@
     driver.start(at(0));
     host.available.clear();
     driver.attemptFailed(1, FailureKind::Silent, at(500));
-    giveTokens(driver, 1, 0, 1, 510);
+    deliverTokens(driver, 1, 0, 1, 510);
     LONGS_EQUAL(0, driver.generation().length());
 }
--- a/test/GenerationTest.cpp
+++ b/test/GenerationTest.cpp
@@ -29,7 +29,7 @@
 
 TEST_GROUP(Generation) {};
 
-TEST(Generation, AppendsAtItsLengthOnly)
+TEST(Generation, AppendsOnlyAtItsLength)
 {
     Generation generation(limits(5));
     const auto attempt = generation.beginAttempt();
@@ -52,7 +52,7 @@
     CHECK_FALSE(generation.isEnded());
 }
 
-TEST(Generation, EndsAtItsLimitWithoutAFinishEvent)
+TEST(Generation, EndsAtTheTokenLimitWithoutAFinishEvent)
 {
     Generation generation(limits(2));
     const auto attempt = generation.beginAttempt();
@@ -62,7 +62,7 @@
     checkResult(AppendResult::AlreadyEnded, generation.append(attempt, 2, { 3, "c" }));
 }
 
-TEST(Generation, RefusesAFinishThatMissesTokens)
+TEST(Generation, RefusesAFinishWithMissingTokens)
 {
     Generation generation(limits(5));
     const auto attempt = generation.beginAttempt();
@@ -71,7 +71,7 @@
     CHECK_FALSE(generation.isEnded());
 }
 
-TEST(Generation, FindsAStopStringThatAResumptionSplits)
+TEST(Generation, FindsAStopStringSplitByAResumption)
 {
     Generation generation(limits(9, { "END" }));
     const auto first = generation.beginAttempt();
@@ -82,7 +82,7 @@
     STRCMP_EQUAL("so ", releasedText(generation).c_str());
 }
 
-TEST(Generation, HoldsBackWhatMayBecomeAStopString)
+TEST(Generation, HoldsBackTextThatMayBecomeAStopString)
 {
     Generation generation(limits(9, { "END" }));
     const auto attempt = generation.beginAttempt();
--- a/test/MonotonicClockTest.cpp
+++ b/test/MonotonicClockTest.cpp
@@ -8,7 +8,7 @@
 TEST_GROUP(MonotonicClock) {};
 
 // The time since boot includes the time for which the machine was suspended; the steady clock does not.
-TEST(MonotonicClock, CountsTheTimeSinceBootWithAllSuspensions)
+TEST(MonotonicClock, CountsTheTimeSinceBootIncludingSuspensions)
 {
     const auto sinceBoot = [] {
         double seconds = 0;
--- a/test/ReplicaStoreTest.cpp
+++ b/test/ReplicaStoreTest.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 const ViewMember runner { "a", 1 };
-const ViewMember restarted { "a", 2 };
+const ViewMember restartedRunner { "a", 2 };
 const std::string key = "k";
 
 ReplicaRecord record(const ViewMember& by = runner)
@@ -50,7 +50,7 @@
     checkResult(JournalResult::Refused, append(1, { { 2, "b" } }));
 }
 
-TEST(ReplicaStore, KeepsWhatItHasWhenTokensComeAgain)
+TEST(ReplicaStore, KeepsHeldTokensWhenTheyAreSentAgain)
 {
     store.open(1, record());
     append(0, { { 1, "a" }, { 2, "b" } });
@@ -59,7 +59,7 @@
     LONGS_EQUAL(3, store.find(key)->tokens[2].id);
 }
 
-TEST(ReplicaStore, RefusesItsRunnerOnceItIsSealed)
+TEST(ReplicaStore, RefusesTheRunnerOfASealedRecord)
 {
     store.open(1, record());
     append(0, { { 1, "a" } });
@@ -70,7 +70,7 @@
     LONGS_EQUAL(1, store.find(key)->tokens.size());
 }
 
-TEST(ReplicaStore, IsTakenOverOnce)
+TEST(ReplicaStore, SealsARecordOnlyOnce)
 {
     store.open(1, record());
     CHECK(store.seal(key, Milliseconds { 1000 }).has_value());
@@ -81,34 +81,34 @@
 {
     store.open(1, record());
     checkResult(JournalResult::Refused, store.open(1, record({ "b", 1 })));
-    checkResult(JournalResult::Refused, store.open(1, record(restarted)));
+    checkResult(JournalResult::Refused, store.open(1, record(restartedRunner)));
 }
 
-TEST(ReplicaStore, RefusesItemsOfAnEpochBelowItsFloor)
+TEST(ReplicaStore, RefusesItemsBelowTheMinimumEpoch)
 {
     store.open(1, record());
-    store.raiseFloor(2);
+    store.raiseMinimumEpoch(2);
     checkResult(JournalResult::Refused, append(0, { { 1, "a" } }, 1));
     checkResult(JournalResult::Applied, append(0, { { 1, "a" } }, 2));
 }
 
-TEST(ReplicaStore, NeverLowersItsFloor)
+TEST(ReplicaStore, NeverLowersTheMinimumEpoch)
 {
-    store.raiseFloor(5);
-    store.raiseFloor(3);
+    store.raiseMinimumEpoch(5);
+    store.raiseMinimumEpoch(3);
     checkResult(JournalResult::Refused, store.open(4, record()));
 }
 
-TEST(ReplicaStore, DropsForItsRunnerOnly)
+TEST(ReplicaStore, DropsARecordOnlyForItsRunner)
 {
     store.open(1, record());
-    store.drop(restarted, key);
+    store.drop(restartedRunner, key);
     LONGS_EQUAL(1, store.size());
     store.drop(runner, key);
     LONGS_EQUAL(0, store.size());
 }
 
-TEST(ReplicaStore, KeepsTheRecordsOfALostRunnerForATime)
+TEST(ReplicaStore, KeepsTheRecordsOfALostRunnerForTheRetentionTime)
 {
     store.open(1, record());
     store.runnerLost("a", Milliseconds { 1000 });
@@ -127,18 +127,18 @@
     LONGS_EQUAL(1, store.size());
 }
 
-TEST(ReplicaStore, DoesNotTakeARestartedRunnerForTheOldOne)
+TEST(ReplicaStore, DoesNotMistakeARestartedRunnerForTheOldOne)
 {
     store.open(1, record());
     store.runnerLost("a", Milliseconds { 1000 });
-    store.runnerBack(restarted);
+    store.runnerBack(restartedRunner);
     store.sweep(Milliseconds { 9000 }, Milliseconds { 500 });
     LONGS_EQUAL(0, store.size());
 }
 
 // After a lost connection the runner sends everything again. If open() emptied the record and the runner were lost
 // before it had sent all tokens again, callers would have seen tokens that no VM holds.
-TEST(ReplicaStore, KeepsItsTokensWhenItsRunnerOpensItAgain)
+TEST(ReplicaStore, KeepsTheTokensOfARecordThatIsOpenedAgain)
 {
     store.open(1, record());
     append(0, { { 1, "a" }, { 2, "b" } });
@@ -146,7 +146,7 @@
     LONGS_EQUAL(2, store.find(key)->tokens.size());
 }
 
-TEST(ReplicaStore, StartsAfreshForAnotherGenerationOfItsRunner)
+TEST(ReplicaStore, StartsAnEmptyRecordForAnotherGenerationOfTheRunner)
 {
     store.open(1, record());
     append(0, { { 1, "a" } });
--- a/test/SilenceDetectorTest.cpp
+++ b/test/SilenceDetectorTest.cpp
@@ -34,14 +34,14 @@
     LONGS_EQUAL(100, detector->patience().count());
 }
 
-TEST(SilenceDetector, AllowsAMultipleOfTheLongGapsByQuantile)
+TEST(SilenceDetector, QuantileDetectorAllowsAMultipleOfTheLongGaps)
 {
     const auto detector = makeSilenceDetector(DetectorKind::Quantile, bounds);
     observe(*detector, 64, 50);
     LONGS_EQUAL(150, detector->patience().count());
 }
 
-TEST(SilenceDetector, ForgetsGapsThatAreLongPast)
+TEST(SilenceDetector, ForgetsOldGaps)
 {
     const auto detector = makeSilenceDetector(DetectorKind::Quantile, bounds);
     observe(*detector, 64, 300);
@@ -49,7 +49,7 @@
     LONGS_EQUAL(150, detector->patience().count());
 }
 
-TEST(SilenceDetector, AllowsALittleMoreThanTheLongestGapByMaximum)
+TEST(SilenceDetector, MaximumDetectorAllowsALittleMoreThanTheLongestGap)
 {
     const auto detector = makeSilenceDetector(DetectorKind::Maximum, bounds);
     observe(*detector, 1, 200);
@@ -57,7 +57,7 @@
     LONGS_EQUAL(260, detector->patience().count());
 }
 
-TEST(SilenceDetector, KeepsALongGapInMindForAThousandMore)
+TEST(SilenceDetector, MaximumDetectorRemembersALongGapForAThousandMore)
 {
     const auto detector = makeSilenceDetector(DetectorKind::Maximum, bounds);
     observe(*detector, 1, 200);
@@ -67,14 +67,14 @@
     LONGS_EQUAL(100, detector->patience().count());
 }
 
-TEST(SilenceDetector, TakesTheMeanAloneWhenPhiAccrualSeesNoSpread)
+TEST(SilenceDetector, PhiAccrualDetectorUsesOnlyTheMeanWhenGapsDoNotVary)
 {
     const auto detector = makeSilenceDetector(DetectorKind::PhiAccrual, bounds);
     observe(*detector, 64, 200);
     LONGS_EQUAL(200, detector->patience().count());
 }
 
-TEST(SilenceDetector, AnswersWithTheFloorWhenFixed)
+TEST(SilenceDetector, FixedDetectorReturnsTheFloor)
 {
     const auto detector = makeSilenceDetector(DetectorKind::Fixed, bounds);
     observe(*detector, 64, 900);
@@ -99,7 +99,7 @@
     checkVerdict(PulseVerdict::EndpointSilent, 1100, activity);
 }
 
-TEST(EndpointPulse, TakesATokenOfAnotherStreamAsASignOfLife)
+TEST(EndpointPulse, TreatsATokenOfAnotherStreamAsASignOfLife)
 {
     const StreamActivity activity { at(1000), true };
     pulse.tokenSeen(at(1090), std::nullopt);
@@ -107,14 +107,14 @@
     checkVerdict(PulseVerdict::EndpointSilent, 1190, activity);
 }
 
-TEST(EndpointPulse, SuspectsALoneSilentStreamLater)
+TEST(EndpointPulse, SuspectsASingleSilentStreamAfterALongerTimeout)
 {
     const StreamActivity activity { at(1000), true };
     pulse.tokenSeen(at(6000), std::nullopt);
     checkVerdict(PulseVerdict::StreamSilent, 6000, activity);
 }
 
-TEST(EndpointPulse, GivesAFirstTokenTheTimeOfAPrefill)
+TEST(EndpointPulse, AllowsTheTimeOfAPrefillForTheFirstToken)
 {
     const StreamActivity activity { at(1000), false };
     checkVerdict(PulseVerdict::Alive, 1399, activity);
@@ -129,7 +129,7 @@
     checkVerdict(PulseVerdict::StreamSilent, 4000, activity);
 }
 
-TEST(EndpointPulse, TellsWhenItsVerdictCanChange)
+TEST(EndpointPulse, NextCheckIsWhenTheVerdictCanChange)
 {
     const StreamActivity activity { at(1000), true };
     LONGS_EQUAL(1100, pulse.nextCheck(activity).count());
--- a/test/ViewTest.cpp
+++ b/test/ViewTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-View viewOf(std::size_t count)
+View viewWithMembers(std::size_t count)
 {
     View view { 1, {} };
     for (std::size_t i = 0; i < count; ++i)
@@ -27,9 +27,9 @@
 
 TEST_GROUP(View) {};
 
-TEST(View, RanksAlikeInWhateverOrderMembersAreListed)
+TEST(View, RankingDoesNotDependOnTheOrderOfMembers)
 {
-    auto view = viewOf(7);
+    auto view = viewWithMembers(7);
     const auto ranked = rankMembers(view, "key");
     std::reverse(view.members.begin(), view.members.end());
     CHECK(ranked == rankMembers(view, "key"));
@@ -37,7 +37,7 @@
 
 TEST(View, GivesTheKeysOfALeavingOwnerToTheirReplicas)
 {
-    const auto view = viewOf(7);
+    const auto view = viewWithMembers(7);
     for (int i = 0; i < 200; ++i) {
         const auto key = std::to_string(i);
         const auto ranked = rankMembers(view, key);
@@ -46,9 +46,9 @@
     }
 }
 
-TEST(View, MovesNoKeyOfTheMembersThatStay)
+TEST(View, DoesNotMoveKeysOfRemainingMembers)
 {
-    const auto view = viewOf(7);
+    const auto view = viewWithMembers(7);
     const auto smaller = without(view, "vm3");
     for (int i = 0; i < 200; ++i) {
         const auto key = std::to_string(i);
@@ -58,9 +58,9 @@
     }
 }
 
-TEST(View, TellsARestartedMemberFromTheOldOne)
+TEST(View, DistinguishesARestartedMemberFromTheOldOne)
 {
-    const auto view = viewOf(2);
+    const auto view = viewWithMembers(2);
     CHECK(view.contains({ "vm1", 1 }));
     CHECK_FALSE(view.contains({ "vm1", 2 }));
 }
