--- a/src/rollout/ExposureBudget.cpp
+++ b/src/rollout/ExposureBudget.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // The rest covers the requests that VMs round up and those that the candidate receives after it has been completed.
-constexpr double spentShare = 0.8;
+constexpr double usedShare = 0.8;
 
 } // namespace
 
@@ -18,12 +18,12 @@
 {
 }
 
-bool ExposureBudget::take()
+bool ExposureBudget::tryConsume()
 {
-    const auto part = spentShare * (m_limit.share * m_requests + m_limit.slack * m_slackShare);
-    if (m_taken + 1 > part + m_rounding)
+    const auto allowance = usedShare * (m_limit.share * m_requests + m_limit.slack * m_slackShare);
+    if (m_consumed + 1 > allowance + m_rounding)
         return false;
-    ++m_taken;
+    ++m_consumed;
     return true;
 }
 
--- a/src/rollout/ExposureBudget.h
+++ b/src/rollout/ExposureBudget.h
@@ -25,15 +25,15 @@
     // Counts an incoming request for the service.
     void noteRequest() { ++m_requests; }
     // Consumes the allowance for one request to the candidate; false when none is left.
-    bool take();
-    unsigned taken() const { return m_taken; }
+    bool tryConsume();
+    unsigned consumed() const { return m_consumed; }
 
 private:
     const ExposureLimit m_limit;
     const double m_slackShare;
     const double m_rounding;
     unsigned m_requests { 0 };
-    unsigned m_taken { 0 };
+    unsigned m_consumed { 0 };
 };
 
 } // namespace lupinknot::internal
--- a/src/rollout/Rollout.cpp
+++ b/src/rollout/Rollout.cpp
@@ -4,9 +4,9 @@
 
 namespace lupinknot::internal {
 
-Rollout::Rollout(RolloutOrder order, const RolloutTerms& terms)
+Rollout::Rollout(RolloutOrder order, const RolloutTerms& parameters)
     : m_order(std::move(order))
-    , m_budget(terms.limit, terms.slackShare, terms.vmName)
+    , m_budget(parameters.limit, parameters.slackShare, parameters.vmName)
 {
 }
 
@@ -20,21 +20,21 @@
 {
     if (m_decision != RolloutDecision::Completed)
         return { VersionChoice::Rule::Not, m_order.candidate };
-    if (now - m_decidedAt < replacedLeaveWithin)
+    if (now - m_decidedAt < replacedVersionExclusionTime)
         return { VersionChoice::Rule::Only, m_order.candidate };
     return {};
 }
 
 VersionChoice Rollout::choose(Milliseconds now)
 {
-    if (m_decision == RolloutDecision::Undecided && mayTry(now) && m_budget.take())
+    if (m_decision == RolloutDecision::Undecided && isCandidatePermitted(now) && m_budget.tryConsume())
         return { VersionChoice::Rule::Only, m_order.candidate };
     return proven(now);
 }
 
 VersionChoice Rollout::forCopies(Milliseconds now) const
 {
-    if (m_decision == RolloutDecision::Undecided && m_isReady && mayTry(now))
+    if (m_decision == RolloutDecision::Undecided && m_isReady && isCandidatePermitted(now))
         return { VersionChoice::Rule::Only, m_order.candidate };
     return proven(now);
 }
@@ -49,7 +49,7 @@
     m_isStopped = m_isStopped || word == GathererWord::Stop;
     m_isReady = m_isReady || word == GathererWord::Ready;
     if (word != GathererWord::Stop)
-        m_mayTryUntil = std::max(m_mayTryUntil, now + permissionHolds);
+        m_permittedUntil = std::max(m_permittedUntil, now + permissionLifetime);
 }
 
 void Rollout::decide(RolloutDecision decision, Milliseconds now)
--- a/src/rollout/Rollout.h
+++ b/src/rollout/Rollout.h
@@ -52,7 +52,7 @@
     RolloutDecision decision() const { return m_decision; }
     bool isStopped() const { return m_isStopped; }
     const VersionEvidence& evidence() const { return m_evidence; }
-    unsigned exposed() const { return m_budget.taken(); }
+    unsigned exposed() const { return m_budget.consumed(); }
 
     void noteRequest() { m_budget.noteRequest(); }
     // Which runners a new request may go to. Counts a request that goes to the candidate as exposed.
@@ -70,18 +70,18 @@
 
     // How long an aggregator's permission lasts. VMs report their evidence several times within it, and a rollback has
     // to reach every VM within the deployment's time, some seconds.
-    static constexpr Milliseconds permissionHolds { 1500 };
+    static constexpr Milliseconds permissionLifetime { 1500 };
     // How long the runners of a replaced version are excluded: the endpoint list still names them for some seconds.
     // After that versions are no longer distinguished, since the next ones may come without an order.
-    static constexpr Milliseconds replacedLeaveWithin { 10000 };
+    static constexpr Milliseconds replacedVersionExclusionTime { 10000 };
 
 private:
-    bool mayTry(Milliseconds now) const { return !m_isStopped && now < m_mayTryUntil; }
+    bool isCandidatePermitted(Milliseconds now) const { return !m_isStopped && now < m_permittedUntil; }
 
     RolloutOrder m_order;
     ExposureBudget m_budget;
     VersionEvidence m_evidence;
-    Milliseconds m_mayTryUntil { 0 };
+    Milliseconds m_permittedUntil { 0 };
     bool m_isReady { false };
     bool m_isStopped { false };
     RolloutDecision m_decision { RolloutDecision::Undecided };
--- a/src/rollout/RolloutGatherer.cpp
+++ b/src/rollout/RolloutGatherer.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-unsigned answersIn(const VersionEvidence& evidence)
+unsigned answerCount(const VersionEvidence& evidence)
 {
     const auto total = evidence.total();
     return total.present.answers + total.candidate.answers;
@@ -14,19 +14,19 @@
 
 RolloutGatherer::RolloutGatherer(const RolloutOrder& order, Milliseconds now)
     : m_order(order)
-    , m_since(now)
+    , m_startedAt(now)
 {
 }
 
 void RolloutGatherer::take(const std::string& process, const VersionEvidence& evidence, bool isStopped)
 {
     m_isBad = m_isBad || isStopped;
-    const auto known = m_byProcess.find(process);
-    if (known == m_byProcess.end()) {
-        if (m_byProcess.size() >= mostProcesses)
+    const auto known = m_evidenceByProcess.find(process);
+    if (known == m_evidenceByProcess.end()) {
+        if (m_evidenceByProcess.size() >= maximumProcesses)
             return;
-        m_byProcess.emplace(process, evidence);
-    } else if (answersIn(evidence) > answersIn(known->second)) {
+        m_evidenceByProcess.emplace(process, evidence);
+    } else if (answerCount(evidence) > answerCount(known->second)) {
         known->second = evidence;
     }
     update();
@@ -35,8 +35,8 @@
 VersionEvidence RolloutGatherer::evidence() const
 {
     VersionEvidence sum;
-    for (const auto& account : m_byProcess)
-        sum.add(account.second);
+    for (const auto& report : m_evidenceByProcess)
+        sum.add(report.second);
     return sum;
 }
 
@@ -47,29 +47,29 @@
     m_isGood = judgement == Judgement::Good;
 }
 
-Milliseconds RolloutGatherer::instantWith(double leftShare) const
+Milliseconds RolloutGatherer::instantAtRemainingShare(double remainingShare) const
 {
-    const auto passed = (1 - leftShare) * static_cast<double>(m_order.duration.count());
-    return m_since + Milliseconds { static_cast<std::int64_t>(passed) };
+    const auto passed = (1 - remainingShare) * static_cast<double>(m_order.duration.count());
+    return m_startedAt + Milliseconds { static_cast<std::int64_t>(passed) };
 }
 
 GathererWord RolloutGatherer::word(Milliseconds now)
 {
     if (m_isBad)
         return GathererWord::Stop;
-    const bool isNear = now >= instantWith(leftWhenReady);
-    return isNear && (m_isGood || isAcceptable(evidence())) ? GathererWord::Ready : GathererWord::Try;
+    const bool isNearEnd = now >= instantAtRemainingShare(remainingShareWhenReady);
+    return isNearEnd && (m_isGood || isAcceptable(evidence())) ? GathererWord::Ready : GathererWord::Try;
 }
 
 std::optional<RolloutDecision> RolloutGatherer::wanted(Milliseconds now)
 {
     if (m_isBad)
         return RolloutDecision::RolledBack;
-    if (m_isGood && now >= instantWith(leftAtCompletion))
+    if (m_isGood && now >= instantAtRemainingShare(remainingShareAtCompletion))
         return RolloutDecision::Completed;
-    if (now >= instantWith(leftAtAcceptance) && isAcceptable(evidence()))
+    if (now >= instantAtRemainingShare(remainingShareAtAcceptance) && isAcceptable(evidence()))
         return RolloutDecision::Completed;
-    if (now >= instantWith(leftAtRollBack))
+    if (now >= instantAtRemainingShare(remainingShareAtRollBack))
         return RolloutDecision::RolledBack;
     return std::nullopt;
 }
--- a/src/rollout/RolloutGatherer.h
+++ b/src/rollout/RolloutGatherer.h
@@ -6,10 +6,10 @@
 // on condition that the store holds none. The rollout therefore does not depend on an aggregator that dies, pauses or
 // is cut off, or on agreement between the aggregators.
 //
-//     RolloutGatherer gatherer(order, now);
-//     gatherer.take("vm-1/17", evidence, isStopped);           // What a process of a VM has counted since its start.
-//     answer(gatherer.word(now));
-//     if (const auto decision = gatherer.wanted(now)) ...      // Write it.
+//     RolloutGatherer aggregator(order, now);
+//     aggregator.take("vm-1/17", evidence, isStopped);           // What a process of a VM has counted since its start.
+//     answer(aggregator.word(now));
+//     if (const auto decision = aggregator.wanted(now)) ...      // Write it.
 //
 // Used on the relay's thread only; lives as long as the order.
 #pragma once
@@ -31,30 +31,30 @@
     // The decision that should be written now; empty while there is none.
     std::optional<RolloutDecision> wanted(Milliseconds now);
     VersionEvidence evidence() const;
-    std::size_t processCount() const { return m_byProcess.size(); }
+    std::size_t processCount() const { return m_evidenceByProcess.size(); }
 
     // The share of the order's duration that remains when a good candidate is completed. Until then the candidate gets
     // no more than its part, so that one that turns bad late has received few requests. The remaining time is for the
     // store's answer.
-    static constexpr double leftAtCompletion = 0.1;
+    static constexpr double remainingShareAtCompletion = 0.1;
     // The same for a candidate that is only acceptable, and for the rollback of one with too little evidence: an
     // aggregator that has heard from few VMs leaves the decision to the others as long as there is time.
-    static constexpr double leftAtAcceptance = 0.07;
-    static constexpr double leftAtRollBack = 0.03;
+    static constexpr double remainingShareAtAcceptance = 0.07;
+    static constexpr double remainingShareAtRollBack = 0.03;
     // The same when VMs begin to place copies of running streams on a candidate that looks good: the runs of the
     // present version end with its runners, and most streams are shorter than the time that remains then.
-    static constexpr double leftWhenReady = 0.45;
+    static constexpr double remainingShareWhenReady = 0.45;
     // Reports of more processes are ignored: several hundred VMs that each restart now and then stay below this number.
-    static constexpr std::size_t mostProcesses = 2000;
+    static constexpr std::size_t maximumProcesses = 2000;
 
 private:
     // The instant at which that share of the order's duration remains.
-    Milliseconds instantWith(double leftShare) const;
+    Milliseconds instantAtRemainingShare(double remainingShare) const;
     void update();
 
     const RolloutOrder m_order;
-    const Milliseconds m_since;
-    std::map<std::string, VersionEvidence> m_byProcess;
+    const Milliseconds m_startedAt;
+    std::map<std::string, VersionEvidence> m_evidenceByProcess;
     bool m_isGood { false };
     bool m_isBad { false };
 };
--- a/src/rollout/Rollouts.cpp
+++ b/src/rollout/Rollouts.cpp
@@ -2,12 +2,12 @@
 
 namespace lupinknot::internal {
 
-bool Rollouts::begin(const RolloutOrder& order, const RolloutTerms& terms)
+bool Rollouts::begin(const RolloutOrder& order, const RolloutTerms& parameters)
 {
     auto& rollout = m_byService[order.service];
     if (rollout && rollout->order().position() >= order.position())
         return false;
-    rollout = std::make_unique<Rollout>(order, terms);
+    rollout = std::make_unique<Rollout>(order, parameters);
     return true;
 }
 
--- a/src/rollout/VersionEvidence.cpp
+++ b/src/rollout/VersionEvidence.cpp
@@ -5,8 +5,8 @@
 void VersionEvidence::note(const std::string& route, RunnerVersion version, AnswerQuality quality)
 {
     auto& counts = m_routes[route];
-    auto& side = version == RunnerVersion::Candidate ? counts.candidate : counts.present;
-    side.add({ 1, quality == AnswerQuality::Bad ? 1U : 0U });
+    auto& versionCounts = version == RunnerVersion::Candidate ? counts.candidate : counts.present;
+    versionCounts.add({ 1, quality == AnswerQuality::Bad ? 1U : 0U });
 }
 
 void VersionEvidence::add(const VersionEvidence& other)
--- a/test/RolloutTest.cpp
+++ b/test/RolloutTest.cpp
@@ -13,7 +13,7 @@
 const RolloutOrder order { "s", "v2", Milliseconds { 10000 }, 7 };
 
 // Evidence of a single route.
-VersionEvidence seen(const AnswerCounts& present, const AnswerCounts& candidate, const std::string& route = "r")
+VersionEvidence evidenceOf(const AnswerCounts& present, const AnswerCounts& candidate, const std::string& route = "r")
 {
     VersionEvidence evidence;
     evidence.set(route, { present, candidate });
@@ -26,57 +26,57 @@
 {
     Milliseconds now { 100000 };
     // One VM of five. Its part of the fixed number of 50 is 10, of which it spends a share of 0.8: eight.
-    const RolloutTerms terms { { 0.1, 50 }, 0.2, "" };
-    Rollout rollout { order, terms };
+    const RolloutTerms parameters { { 0.1, 50 }, 0.2, "" };
+    Rollout rollout { order, parameters };
 
-    bool triesCandidate() { return rollout.choose(now).admits("v2"); }
+    bool isSentToCandidate() { return rollout.choose(now).admits("v2"); }
 
-    int tryAll()
+    int exhaustBudget()
     {
-        int tried = 0;
-        while (tried < 1000 && triesCandidate())
-            ++tried;
-        return tried;
+        int sent = 0;
+        while (sent < 1000 && isSentToCandidate())
+            ++sent;
+        return sent;
     }
 };
 
-TEST(Rollout, SendsNothingToACandidateBeforeAGathererAllowsIt)
+TEST(Rollout, SendsNothingToTheCandidateBeforeAnAggregatorPermitsIt)
 {
-    CHECK_FALSE(triesCandidate());
+    CHECK_FALSE(isSentToCandidate());
     rollout.hear(GathererWord::Try, now);
-    CHECK(triesCandidate());
+    CHECK(isSentToCandidate());
 }
 
-TEST(Rollout, SpendsNoMoreThanItsPartOfTheExposure)
+TEST(Rollout, LimitsCandidateRequestsToItsPartOfTheBudget)
 {
     rollout.hear(GathererWord::Try, now);
-    const auto fixed = tryAll();
+    const auto fixed = exhaustBudget();
     CHECK_TEXT(fixed == 8 || fixed == 9, "expected 0.8 of a fifth of 50, rounded up or down");
     for (int i = 0; i < 100; ++i)
         rollout.noteRequest();
-    LONGS_EQUAL_TEXT(8, tryAll(), "expected 0.8 of a tenth of 100 requests");
+    LONGS_EQUAL_TEXT(8, exhaustBudget(), "expected 0.8 of a tenth of 100 requests");
 }
 
-TEST(Rollout, APermissionEndsWhenNoGathererIsHeard)
+TEST(Rollout, PermissionExpiresWhenNoAggregatorAnswers)
 {
     rollout.hear(GathererWord::Try, now);
-    now += Rollout::permissionHolds;
-    CHECK_FALSE(triesCandidate());
+    now += Rollout::permissionLifetime;
+    CHECK_FALSE(isSentToCandidate());
 }
 
-TEST(Rollout, AStopHoldsWhateverOtherGatherersSay)
+TEST(Rollout, AStopIsFinalWhateverOtherAggregatorsAnswer)
 {
     rollout.hear(GathererWord::Stop, now);
     rollout.hear(GathererWord::Try, now);
-    CHECK_FALSE(triesCandidate());
+    CHECK_FALSE(isSentToCandidate());
 }
 
-TEST(Rollout, TheFirstDecisionStays)
+TEST(Rollout, OnlyTheFirstDecisionCounts)
 {
     rollout.decide(RolloutDecision::RolledBack, now);
     rollout.decide(RolloutDecision::Completed, now);
     rollout.hear(GathererWord::Try, now);
-    CHECK_FALSE(triesCandidate());
+    CHECK_FALSE(isSentToCandidate());
     CHECK(rollout.proven(now).admits("v1"));
 }
 
@@ -85,12 +85,12 @@
     rollout.decide(RolloutDecision::Completed, now);
     CHECK(rollout.proven(now).admits("v2"));
     CHECK_FALSE(rollout.proven(now).admits("v1"));
-    now += Rollout::replacedLeaveWithin;
+    now += Rollout::replacedVersionExclusionTime;
     CHECK_TEXT(
         rollout.proven(now).admits("v3"), "expected another version to be admitted: it may come without an order");
 }
 
-TEST(Rollout, CopiesLieWithACandidateOnlyOnceItIsAboutToTakeOver)
+TEST(Rollout, CopiesArePlacedOnACandidateOnlyWhenItIsAboutToTakeOver)
 {
     rollout.hear(GathererWord::Try, now);
     CHECK_FALSE(rollout.forCopies(now).admits("v2"));
@@ -100,74 +100,74 @@
 
 TEST_GROUP(RolloutJudge) {};
 
-TEST(RolloutJudge, JudgesNothingByFewAnswers)
+TEST(RolloutJudge, GivesNoVerdictOnFewAnswers)
 {
-    CHECK(judge(seen({ 100, 1 }, { 3, 1 })) == Judgement::Open);
-    CHECK(judge(seen({ 10, 0 }, { 30, 15 })) == Judgement::Open);
+    CHECK(judge(evidenceOf({ 100, 1 }, { 3, 1 })) == Judgement::Open);
+    CHECK(judge(evidenceOf({ 10, 0 }, { 30, 15 })) == Judgement::Open);
 }
 
-TEST(RolloutJudge, FindsACandidateBadThatFailsMoreThanThePresentVersion)
+TEST(RolloutJudge, CandidateThatFailsMoreThanThePresentVersionIsBad)
 {
-    CHECK(judge(seen({ 100, 1 }, { 12, 6 })) == Judgement::Bad);
+    CHECK(judge(evidenceOf({ 100, 1 }, { 12, 6 })) == Judgement::Bad);
 }
 
-TEST(RolloutJudge, FindsACandidateBadThatFailsOnOneRouteAlone)
+TEST(RolloutJudge, CandidateThatFailsOnOneRouteIsBad)
 {
-    auto evidence = seen({ 300, 3 }, { 100, 1 });
+    auto evidence = evidenceOf({ 300, 3 }, { 100, 1 });
     evidence.set("other", { { 60, 1 }, { 12, 7 } });
     CHECK(judge(evidence) == Judgement::Bad);
 }
 
-TEST(RolloutJudge, TroublesOfBothVersionsAreNoFaultOfTheCandidate)
+TEST(RolloutJudge, FailuresOfBothVersionsDoNotMakeTheCandidateBad)
 {
-    CHECK(judge(seen({ 300, 90 }, { 50, 16 })) != Judgement::Bad);
+    CHECK(judge(evidenceOf({ 300, 90 }, { 50, 16 })) != Judgement::Bad);
 }
 
-TEST(RolloutJudge, FindsACandidateGoodAfterAsManyAnswersAsADayHas)
+TEST(RolloutJudge, CandidateIsGoodAfterAsManyAnswersAsADayHas)
 {
-    CHECK(judge(seen({ 400, 4 }, { 80, 1 })) == Judgement::Good);
-    CHECK(isAcceptable(seen({ 100, 1 }, { 45, 0 })));
-    CHECK_FALSE(isAcceptable(seen({ 100, 1 }, { 10, 0 })));
+    CHECK(judge(evidenceOf({ 400, 4 }, { 80, 1 })) == Judgement::Good);
+    CHECK(isAcceptable(evidenceOf({ 100, 1 }, { 45, 0 })));
+    CHECK_FALSE(isAcceptable(evidenceOf({ 100, 1 }, { 10, 0 })));
 }
 
 TEST_GROUP(RolloutGatherer)
 {
     Milliseconds now { 100000 };
-    RolloutGatherer gatherer { order, now };
+    RolloutGatherer aggregator { order, now };
 };
 
-TEST(RolloutGatherer, CountsAProcessOnceHoweverOftenItTells)
+TEST(RolloutGatherer, CountsAProcessOnceHoweverOftenItReports)
 {
     for (int i = 0; i < 3; ++i)
-        gatherer.take("vm-1/1", seen({ 10, 0 }, { 2, 1 }), false);
-    gatherer.take("vm-1/1", seen({ 5, 0 }, { 1, 0 }), false);
-    gatherer.take("vm-1/2", seen({ 3, 0 }, { 1, 1 }), false);
-    LONGS_EQUAL(3, gatherer.evidence().total().candidate.answers);
-    LONGS_EQUAL(13, gatherer.evidence().total().present.answers);
+        aggregator.take("vm-1/1", evidenceOf({ 10, 0 }, { 2, 1 }), false);
+    aggregator.take("vm-1/1", evidenceOf({ 5, 0 }, { 1, 0 }), false);
+    aggregator.take("vm-1/2", evidenceOf({ 3, 0 }, { 1, 1 }), false);
+    LONGS_EQUAL(3, aggregator.evidence().total().candidate.answers);
+    LONGS_EQUAL(13, aggregator.evidence().total().present.answers);
 }
 
-TEST(RolloutGatherer, PassesOnWhatAnotherGathererHasJudged)
+TEST(RolloutGatherer, PassesOnTheVerdictOfAnotherAggregator)
 {
-    gatherer.take("vm-1/1", {}, true);
-    CHECK(gatherer.word(now) == GathererWord::Stop);
-    CHECK(gatherer.wanted(now) == RolloutDecision::RolledBack);
+    aggregator.take("vm-1/1", {}, true);
+    CHECK(aggregator.word(now) == GathererWord::Stop);
+    CHECK(aggregator.wanted(now) == RolloutDecision::RolledBack);
 }
 
 TEST(RolloutGatherer, CompletesAGoodCandidateNearTheEndOfItsTime)
 {
-    gatherer.take("vm-1/1", seen({ 400, 4 }, { 80, 1 }), false);
-    CHECK_FALSE(gatherer.wanted(now).has_value());
+    aggregator.take("vm-1/1", evidenceOf({ 400, 4 }, { 80, 1 }), false);
+    CHECK_FALSE(aggregator.wanted(now).has_value());
     now += Milliseconds { 9000 };
-    CHECK(gatherer.wanted(now) == RolloutDecision::Completed);
+    CHECK(aggregator.wanted(now) == RolloutDecision::Completed);
 }
 
-TEST(RolloutGatherer, LeavesTheDecisionToOthersWhenItKnowsLittleAndRollsBackInTheEnd)
+TEST(RolloutGatherer, WithLittleEvidenceWaitsForOthersAndRollsBackAtTheEnd)
 {
-    gatherer.take("vm-1/1", seen({ 4, 0 }, { 1, 0 }), false);
+    aggregator.take("vm-1/1", evidenceOf({ 4, 0 }, { 1, 0 }), false);
     now += Milliseconds { 9500 };
-    CHECK_FALSE(gatherer.wanted(now).has_value());
+    CHECK_FALSE(aggregator.wanted(now).has_value());
     now += Milliseconds { 300 };
-    CHECK(gatherer.wanted(now) == RolloutDecision::RolledBack);
+    CHECK(aggregator.wanted(now) == RolloutDecision::RolledBack);
 }
 
 TEST_GROUP(RolloutOnRelay)
@@ -187,9 +187,10 @@
 
     static ScriptedConnection::OnRequest answers(int status)
     {
-        return [status](ScriptedConnection& asker, const std::string& request) {
+        return [status](ScriptedConnection& connection, const std::string& request) {
             const auto id = request.substr(request.find("X-Request-Id: ") + 14);
-            asker.answer(status, "X-Request-Id: " + id.substr(0, id.find('\r')) + "\r\nX-Response-Signature: s\r\n",
+            connection.answer(status,
+                "X-Request-Id: " + id.substr(0, id.find('\r')) + "\r\nX-Response-Signature: s\r\n",
                 std::to_string(status));
         };
     }
@@ -202,7 +203,7 @@
     }
 };
 
-TEST(RolloutOnRelay, SendsNothingToTheCandidateBeforeItIsAllowed)
+TEST(RolloutOnRelay, SendsNothingToTheCandidateBeforeItIsPermitted)
 {
     for (int i = 0; i < 20; ++i)
         STRCMP_EQUAL("200", call("r" + std::to_string(i)).c_str());
@@ -221,7 +222,7 @@
     LONGS_EQUAL(5, rollout.exposed());
 }
 
-TEST(RolloutOnRelay, ACandidateThatWasRolledBackGetsNothing)
+TEST(RolloutOnRelay, ARolledBackCandidateGetsNoRequests)
 {
     auto& rollout = *relay.daemon().rollouts().find("s");
     const auto now = relay.daemon().clock().now();
@@ -231,13 +232,13 @@
     LONGS_EQUAL(0, rollout.exposed());
 }
 
-TEST(RolloutOnRelay, ACompletedCandidateGetsEverything)
+TEST(RolloutOnRelay, ACompletedCandidateGetsAllRequests)
 {
     relay.daemon().rollouts().find("s")->decide(RolloutDecision::Completed, relay.daemon().clock().now());
     STRCMP_EQUAL("500", call("r1").c_str());
 }
 
-TEST(RolloutOnRelay, CallersAreServedByWhoeverIsLeft)
+TEST(RolloutOnRelay, CandidateServesWhenNoOtherRunnerIsLeft)
 {
     relay.daemon().directory().remove("old", relay.daemon().clock().now());
     call("r1");
