--- a/src/core/SilenceDetector.cpp
+++ b/src/core/SilenceDetector.cpp
@@ -56,7 +56,7 @@
     LearningDetector(SilenceBounds bounds, GapWindow window)
         : m_bounds(bounds)
         , m_window(std::move(window))
-        , m_patience(bounds.ceiling)
+        , m_silenceTimeout(bounds.ceiling)
     {
     }
 
@@ -66,10 +66,10 @@
         if (++m_gapsSinceUpdate < gapsPerUpdate || !m_window.hasEnoughGaps())
             return;
         m_gapsSinceUpdate = 0;
-        m_patience = std::clamp(estimate(m_window.gaps()), m_bounds.floor, m_bounds.ceiling);
+        m_silenceTimeout = std::clamp(estimate(m_window.gaps()), m_bounds.floor, m_bounds.ceiling);
     }
 
-    Milliseconds patience() const override { return m_patience; }
+    Milliseconds patience() const override { return m_silenceTimeout; }
 
 protected:
     virtual Milliseconds estimate(const std::vector<std::int64_t>& gaps) const = 0;
@@ -79,7 +79,7 @@
 
     SilenceBounds m_bounds;
     GapWindow m_window;
-    Milliseconds m_patience;
+    Milliseconds m_silenceTimeout;
     unsigned m_gapsSinceUpdate { 0 };
 };
 
--- a/src/rollout/Rollout.h
+++ b/src/rollout/Rollout.h
@@ -9,7 +9,7 @@
 //     rollout.noteRequest();
 //     const auto choice = rollout.choose(now);                 // For each request, before it is first sent.
 //     rollout.noteAnswer(route, RunnerVersion::Candidate, AnswerQuality::Good);
-//     rollout.hear(directive, now);                            // An aggregator's answer to this VM's evidence.
+//     rollout.hear(directive, now);                  // An aggregator's answer to this VM's evidence.
 //     rollout.decide(RolloutDecision::Completed, now);         // The decision recorded in the store.
 //
 // Used on the relay's thread only.
--- a/src/rollout/RolloutGatherer.h
+++ b/src/rollout/RolloutGatherer.h
@@ -7,9 +7,9 @@
 // is cut off, or on agreement between the aggregators.
 //
 //     RolloutGatherer aggregator(order, now);
-//     aggregator.take("vm-1/17", evidence, isStopped);           // What a process of a VM has counted since its start.
+//     aggregator.take("vm-1/17", evidence, isStopped);    // What a process of a VM has counted since its start.
 //     answer(aggregator.word(now));
-//     if (const auto decision = aggregator.wanted(now)) ...      // Write it.
+//     if (const auto decision = aggregator.wanted(now)) ...  // Write it.
 //
 // Used on the relay's thread only; lives as long as the order.
 #pragma once
