--- a/src/core/SilenceDetector.cpp
+++ b/src/core/SilenceDetector.cpp
@@ -8,13 +8,13 @@
 
 namespace internal {
 
-// The last gaps of an endpoint, oldest overwritten first.
+// The most recent gaps between tokens. A new gap overwrites the oldest one.
 class GapWindow {
 public:
-    // With fewer gaps than needed the distribution says little.
-    GapWindow(std::size_t capacity, std::size_t needed)
+    // With fewer gaps than minimumCount the distribution is not meaningful.
+    GapWindow(std::size_t capacity, std::size_t minimumCount)
         : m_capacity(capacity)
-        , m_needed(needed)
+        , m_minimumCount(minimumCount)
     {
     }
 
@@ -26,12 +26,12 @@
             m_gaps[m_next] = gap.count();
         m_next = (m_next + 1) % m_capacity;
     }
-    bool isWarm() const { return m_gaps.size() >= m_needed; }
+    bool hasEnoughGaps() const { return m_gaps.size() >= m_minimumCount; }
     const std::vector<std::int64_t>& gaps() const { return m_gaps; }
 
 private:
     std::size_t m_capacity;
-    std::size_t m_needed;
+    std::size_t m_minimumCount;
     std::vector<std::int64_t> m_gaps;
     std::size_t m_next { 0 };
 };
@@ -49,38 +49,38 @@
     SilenceBounds m_bounds;
 };
 
-// Base of the detectors that learn: computes the patience anew after a number of gaps, not after each. Until it knows
-// enough gaps, the ceiling holds.
+// Base of the detectors that learn. Recomputes the timeout once per a number of gaps instead of after each gap. Returns
+// the ceiling until it knows enough gaps.
 class LearningDetector : public SilenceDetector {
 public:
     LearningDetector(SilenceBounds bounds, GapWindow window)
         : m_bounds(bounds)
         , m_window(std::move(window))
-        , m_patience(bounds.ceiling)
+        , m_silenceTimeout(bounds.ceiling)
     {
     }
 
     void observe(Milliseconds gap) override
     {
         m_window.add(gap);
-        if (++m_sinceUpdate < updateInterval || !m_window.isWarm())
+        if (++m_gapsSinceUpdate < gapsPerUpdate || !m_window.hasEnoughGaps())
             return;
-        m_sinceUpdate = 0;
-        m_patience = std::clamp(estimate(m_window.gaps()), m_bounds.floor, m_bounds.ceiling);
+        m_gapsSinceUpdate = 0;
+        m_silenceTimeout = std::clamp(estimate(m_window.gaps()), m_bounds.floor, m_bounds.ceiling);
     }
 
-    Milliseconds patience() const override { return m_patience; }
+    Milliseconds patience() const override { return m_silenceTimeout; }
 
 protected:
     virtual Milliseconds estimate(const std::vector<std::int64_t>& gaps) const = 0;
 
 private:
-    static constexpr unsigned updateInterval = 16;
+    static constexpr unsigned gapsPerUpdate = 16;
 
     SilenceBounds m_bounds;
     GapWindow m_window;
-    Milliseconds m_patience;
-    unsigned m_sinceUpdate { 0 };
+    Milliseconds m_silenceTimeout;
+    unsigned m_gapsSinceUpdate { 0 };
 };
 
 class QuantileDetector final : public LearningDetector {
@@ -128,7 +128,7 @@
     }
 
 private:
-    // Standard deviations beyond the mean at which phi is 8, that is a chance of 1e-8 for a normal distribution.
+    // Number of standard deviations above the mean at which phi is 8: a probability of 1e-8 for a normal distribution.
     static constexpr double deviationsAtPhi8 = 5.61;
 
     Milliseconds estimate(const std::vector<std::int64_t>& gaps) const override
--- a/test/MonotonicClockTest.cpp
+++ b/test/MonotonicClockTest.cpp
@@ -7,8 +7,8 @@
 
 TEST_GROUP(MonotonicClock) {};
 
-// Time for which the machine was suspended is part of the time since boot, and not of the steady clock.
-TEST(MonotonicClock, CountsTheTimeSinceBootWithAllSuspensions)
+// The time since boot includes the time for which the machine was suspended; the steady clock does not.
+TEST(MonotonicClock, CountsTheTimeSinceBootIncludingSuspensions)
 {
     const auto sinceBoot = [] {
         double seconds = 0;
