--- a/src/admission/AttemptAdmission.h
+++ b/src/admission/AttemptAdmission.h
@@ -1,11 +1,11 @@
-// Decides on the next attempt of a request: whether it may be made, and what follows where it may not or where no
-// endpoint takes it.
+// Decides whether a request may make another attempt, and whether it waits or is refused when it may not or when no
+// endpoint accepts it.
 //
 // Load patterns:
-// - Endpoints fail, reject or fall silent, and each request wants to go on elsewhere at once. A request that must not
-//   run twice may not, one that ends endpoints must not, and retries of all VMs share one budget.
-// - No endpoint takes a request now: all are full, out of reach, at rest or under a rate limit. Those whose time allows
-//   wait, the others are refused at once and told when to come back.
+// - Endpoints fail, reject requests or stop responding, and every affected request tries another endpoint at once. Some
+//   requests must not run twice, some crash the endpoints that run them, and all VMs share one retry budget.
+// - No endpoint accepts a request: all are full, unreachable, in back-off (requested with Retry-After) or rate limited.
+//   Requests with enough time left wait; the others are refused at once with a Retry-After.
 //
 //     const auto verdict = judgeAttempt(state);
 //     if (verdict != AttemptVerdict::Allowed) refuse(refusalAfter(verdict, state.possibleRuns));
@@ -26,68 +26,68 @@
 
 enum class RetryPurpose;
 
-// What is known of a request in front of an attempt.
+// State of a request before an attempt.
 struct AttemptState {
     Standing standing { Standing::Free };
-    // Attempts that an endpoint may have run, and the most that there may be.
+    // Attempts that an endpoint may have run so far, and the maximum allowed.
     unsigned possibleRuns { 0 };
     unsigned mostRuns { 1 };
-    // True when it may run more than once.
+    // True if the request may run more than once.
     bool mayRunAgain { false };
 };
 
 enum class AttemptVerdict {
     Allowed,
-    Undecided, // Ask again soon: endpoints that ended under the request are being judged.
-    Held, // It ends endpoints.
-    RunsSpent, // It may have run as often as it may.
-    RetriesSpent, // The budget has no retry left for it.
+    Undecided, // Ask again soon: the quarantine has not yet decided on endpoints that were lost under the request.
+    Held, // The request is in quarantine because it crashes endpoints.
+    RunsSpent, // No further run is allowed.
+    RetriesSpent, // The retry budget is spent.
 };
 
 AttemptVerdict judgeAttempt(const AttemptState&);
-// True when one more attempt may run, whatever else stands against it.
+// True if the run limits alone permit one more attempt; ignores the quarantine.
 bool mayRunOnceMore(const AttemptState&);
-// Why a request ends whose next attempt is not made.
+// The reason to report when the next attempt is not made.
 RefusalReason refusalAfter(AttemptVerdict, unsigned possibleRuns);
-// What a retry is for that follows an attempt which ended so.
+// The purpose of a retry that follows an attempt with this result.
 RetryPurpose purposeAfter(RefusalReason lastReason);
 
-// A request that no endpoint takes now and that has run nowhere.
+// A request that no endpoint accepts at present and that has not run anywhere.
 struct UnplacedRequest {
     WaitingCall call;
-    // Where all endpoints are limited or at rest, when the first takes requests again.
+    // When the first endpoint accepts requests again, if all are rate limited or in back-off.
     std::optional<EndpointOpening> opening;
-    // What an answer of the service takes.
+    // Usual duration of a call to the service.
     Milliseconds usualCallTime { 0 };
-    // From 0 to 1, different for each request.
+    // Random value from 0 to 1 that differs between requests.
     double spread { 0 };
-    // Why the last attempt came to nothing.
+    // Why the last attempt failed.
     RefusalReason lastReason { RefusalReason::NoEndpoint };
 };
 
 struct UnplacedDecision {
     bool waits { false };
-    // Until the next try.
+    // Time until the next try.
     Milliseconds pause { 0 };
-    // What it waits for, or why it is refused.
+    // What the request waits for, or why it is refused.
     RefusalReason reason { RefusalReason::NoEndpoint };
 };
 
 UnplacedDecision waitOrRefuse(const UnplacedRequest&, Milliseconds now);
 
-// The same for a stream, which looks for an engine all the time until the instant and is refused earlier only if none
-// can be had by then.
+// The same decision for a stream. A stream polls for an engine every `lookInterval` until `waitsUntil` and is refused
+// earlier only if it has not run and no engine becomes available by then.
 UnplacedDecision waitOrRefuseStream(const std::optional<EndpointOpening>&, unsigned possibleRuns,
     Milliseconds waitsUntil, Milliseconds lookInterval, Milliseconds now);
 
-// True where a request is refused because all endpoints rest or are limited.
+// True for refusals because all endpoints are in back-off or rate limited.
 bool isForOpening(RefusalReason);
 
-// When a caller should come back that is refused because no endpoint takes requests before the opening. Callers are
-// spread behind the end of a rest.
+// Retry delay for a caller that is refused because no endpoint accepts requests before the opening. After a back-off,
+// callers are spread so that they do not return together.
 Milliseconds comeBackAtOpening(const EndpointOpening&, double spread, Milliseconds now);
 
-// When a caller should come back that is refused for the reason.
+// Retry delay for a caller that is refused for `lastReason`.
 Milliseconds comeBackAfter(const UnplacedRequest&, Milliseconds now);
 
 } // namespace lupinknot::internal
--- a/src/admission/RefusalReason.h
+++ b/src/admission/RefusalReason.h
@@ -1,4 +1,4 @@
-// Why a request is refused or fails. What each reason tells the caller is in relay/RelayRefusal.
+// Why a request is refused or fails. relay/RelayRefusal maps each reason to a response.
 #pragma once
 
 namespace lupinknot::internal {
--- a/src/admission/RetryPurpose.h
+++ b/src/admission/RetryPurpose.h
@@ -1,12 +1,12 @@
-// What a retry is for; see relay/RetryBudget.
+// The purpose of a retry; see relay/RetryBudget.
 #pragma once
 
 namespace lupinknot::internal {
 
 enum class RetryPurpose {
-    Rescue, // An answer that has begun, or a request whose endpoint failed, goes on elsewhere.
-    FullService, // An endpoint turned the request away. A service that is full is full for all VMs at once.
-    Precaution, // Nothing has failed yet: a second sending of a slow call, or a move to where a copy can grow.
+    Rescue, // Continues an answer that has begun, or a request whose endpoint failed, on another endpoint.
+    FullService, // An endpoint rejected the request. A full service is usually full for all VMs.
+    Precaution, // Nothing has failed yet: a second copy of a slow call, or a move to an endpoint with room to grow.
 };
 
 } // namespace lupinknot::internal
--- a/src/admission/StartupWait.cpp
+++ b/src/admission/StartupWait.cpp
@@ -15,7 +15,7 @@
     }
     if (now < until)
         return { StartupAction::Wait, until };
-    // Without endpoints the request may still wait for some, by the rule for places.
+    // Without endpoints the request may still wait for capacity (WaitForPlace).
     return { state.hasConfiguration ? StartupAction::Serve : StartupAction::Refuse, now };
 }
 
--- a/src/admission/StartupWait.h
+++ b/src/admission/StartupWait.h
@@ -1,9 +1,8 @@
-// Says whether a request waits for the news that a VM lacks just after its start.
+// Decides whether a request waits for configuration and endpoints that the VM has not received yet after its start.
 //
-// Load pattern: all processes of a fleet are killed at once and are back within half a second, while the balancer goes
-// on sending callers. A VM knows its configuration some 40 ms after its start, in the slowest twentieth 70 ms, and with
-// 3,000 endpoints 200 ms. A caller who is refused meanwhile comes back to a VM that starts as well, and has then used
-// up its only retry.
+// Load pattern: all processes of a fleet are killed at once and restart within half a second, while the load balancer
+// keeps sending requests. A VM has its configuration about 40 ms after its start, 70 ms at the 95th percentile, and 200
+// ms with 3,000 endpoints. A caller that is refused meanwhile spends its only retry on another VM that is starting too.
 //
 //     const auto decision = decideStartup({ startedAt, hasConfiguration, hasEndpoints }, { arrivedAt, patience }, now);
 //     if (decision.action == StartupAction::Wait) ...         // Until decision.until at the latest.
@@ -16,36 +15,36 @@
 
 namespace lupinknot::internal {
 
-// What a VM knows, and since when it runs.
+// What the VM has received, and when it started.
 struct StartupState {
     Milliseconds startedAt { 0 };
     bool hasConfiguration { false };
     bool hasEndpoints { false };
 };
 
-// A caller's request that has come in.
+// A request that has arrived.
 struct StartupRequest {
     Milliseconds arrivedAt { 0 };
-    // How long its caller waits; nothing when it does not say.
+    // How long the caller waits for an answer; empty if unknown.
     std::optional<Milliseconds> patience;
 };
 
 enum class StartupAction {
-    Serve, // The VM knows what it needs, or what it can serve with.
-    Wait, // The news is about to come.
-    Refuse, // It is not: the VM cannot reach what it learns from.
+    Serve, // The VM has what it needs, or enough to go on with.
+    Wait, // The configuration or the endpoints are expected soon.
+    Refuse, // They are overdue: the VM probably cannot reach the store.
 };
 
 struct StartupDecision {
     StartupAction action { StartupAction::Serve };
-    // When a request that waits is to be decided on again at the latest.
+    // Latest time to decide again on a waiting request.
     Milliseconds until { 0 };
 };
 
-// A VM that has been up so long without news most likely cannot reach the store: twice the longest start that was seen
-// with 300 VMs and 3,000 endpoints, 200 ms.
+// A VM without configuration or endpoints for this long probably cannot reach the store: twice the longest startup with
+// 300 VMs and 3,000 endpoints, 200 ms.
 inline constexpr Milliseconds longestStartup { 400 };
-// A request waits no longer than this share of its caller's patience: what is left is enough for a try elsewhere.
+// Maximum share of the caller's patience spent waiting, so that enough remains for a retry elsewhere.
 inline constexpr double startupPatienceShare = 0.125;
 
 StartupDecision decideStartup(const StartupState&, const StartupRequest&, Milliseconds now);
--- a/src/admission/WaitForPlace.cpp
+++ b/src/admission/WaitForPlace.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Beyond this many doublings every pause is the longest one.
+// Keeps the shift in range; after this many doublings every pause is the longest one.
 constexpr unsigned mostDoublings = 10;
 
 Milliseconds scaled(Milliseconds time, double factor)
--- a/src/admission/WaitForPlace.h
+++ b/src/admission/WaitForPlace.h
@@ -1,16 +1,20 @@
-// Says whether a call that no endpoint has taken waits for a place, how long, and when a refused caller comes back.
+// Decides whether and how long a call that no endpoint has accepted waits for capacity, and after which delay a refused
+// caller should retry.
 //
 // Load patterns:
-// - After a restart of the fleet, or in a surge, the endpoints of a plain service are full for one or two seconds and
-//   turn calls away. A VM of a large fleet has less than one call a second and learns of a free place only by trying.
-// - A zone that is cut off has no endpoint of a service for some five seconds. To try every endpoint for 80 ms each and
-//   to have the caller back 250 ms later loses over 230 of 300 callers in a replay of such a cut; waiting, under 130.
+// - After a restart of the fleet, or in a surge, the endpoints of a service without streams are full for one or two
+//   seconds and reject calls. A VM of a large fleet sends less than one call a second and detects free capacity only by
+//   trying.
+// - An availability zone that is cut off has no endpoint of a service for about five seconds. In a replay, trying every
+//   endpoint for 80 ms each and telling callers to retry after 250 ms loses more than 230 of 300 callers; waiting loses
+//   fewer than 130.
 //
-// In both a caller has one retry, and waiting is worth more than a refusal as long as the answer can come in time.
+// In both cases a caller has a single retry, so waiting is better than a refusal as long as the answer can arrive in
+// time.
 //
 //     const auto decision = waitForPlace({ arrivedAt, deadline, rounds }, usualCallTime, spread, now);
 //     if (decision.waits) ...                                  // Try again after decision.pause.
-//     else refuse(comeBackIn(PlaceObstacle::Full, timeLeft, usual, spread));
+//     else refuse(comeBackIn(PlaceObstacle::Full, timeLeft, spread));
 //
 // Pure functions of their arguments; thread-safe.
 #pragma once
@@ -19,17 +23,17 @@
 
 namespace lupinknot::internal {
 
-// Why no endpoint has taken a call.
+// Why no endpoint has accepted a call.
 enum class PlaceObstacle {
-    Full, // Endpoints turned it away, or retries are spent.
-    Unreachable, // None is known or no connection came about.
+    Full, // Endpoints rejected it, or the retry budget is spent.
+    Unreachable, // No endpoint is known or none could be connected to.
 };
 
 // A call that has not run anywhere.
 struct WaitingCall {
     Milliseconds arrivedAt { 0 };
     Milliseconds deadline { 0 };
-    // How often it has waited.
+    // How often it has waited so far.
     unsigned rounds { 0 };
 };
 
@@ -38,37 +42,38 @@
     Milliseconds pause { 0 };
 };
 
-// The longest share of its time that a call waits: a caller who is refused then has time for one more try.
+// Maximum share of its time that a call waits, so that a refused caller has time for one more try.
 inline constexpr double waitingShare = 0.5;
-// Bounds of the pause before the next try; it doubles from the usual time of a call, in which each place comes free
-// once. Each try costs an arrival at an endpoint, or 80 ms for a connection that does not come about.
+// Bounds of the pause before the next try. The pause starts at the usual call time, in which each busy slot is freed
+// once, and doubles. Each try costs one request to an endpoint, or 80 ms for a connection that fails.
 inline constexpr Milliseconds shortestPause { 40 };
 inline constexpr Milliseconds longestPause { 400 };
-// Pauses are spread by this share to either side, so that calls that were turned away together do not return together.
+// Pauses vary randomly by this share in both directions, so that calls rejected together do not return together.
 inline constexpr double pauseSpread = 0.25;
 
-// `usualCallTime` is what an answer of the service takes, `spread` a random number from 0 to 1.
+// `usualCallTime` is the usual duration of a call to the service, `spread` a random number from 0 to 1.
 WaitDecision waitForPlace(const WaitingCall&, Milliseconds usualCallTime, double spread, Milliseconds now);
 
-// How long a call may go on waiting for a place: it keeps time for one more try of its caller.
+// How long the call may still wait while leaving time for one more try by its caller.
 Milliseconds timeToWait(const WaitingCall&, Milliseconds now);
 
-// The same decision where it is known when the first endpoint takes requests again, because all have asked for a pause
-// or take only so many a second. A call that cannot wait until then is refused at once. The spread keeps calls that
-// wait for the end of one rest from arriving together; permits are spread already (0).
+// The same decision if the time until the first endpoint accepts requests again is known, because all are in back-off
+// or rate limited. A call that cannot wait until then is refused at once. `spread` delays calls that wait for the end
+// of the same back-off so that they do not arrive together; it is 0 for permits, which are spaced already.
 WaitDecision waitForOpening(
     const WaitingCall&, Milliseconds opensIn, Milliseconds usualCallTime, double spread, Milliseconds now);
 
-// The most of its time that a caller spends before it comes back; a longer wait is cut to this by callers.
+// Maximum share of its remaining time that a caller is told to wait; callers cut longer delays to this.
 inline constexpr double comeBackShare = 1.0 / 3;
-// Full endpoints have places again after a few calls: callers are spread from half to one and a half of this.
+// Full endpoints have free capacity again after a few calls. Callers are spread from 0.5 to 1.5 times this delay.
 inline constexpr Milliseconds comeBackWhenFull { 250 };
 
-// When a caller should come back that is refused because all endpoints rest: after the first rest, spread as above.
+// Retry delay for a caller that is refused because all endpoints are in back-off: the end of the first back-off plus a
+// random share of comeBackWhenFull.
 Milliseconds comeBackAfterRest(Milliseconds restsFor, double spread);
 
-// When a caller that is refused should come back. What cannot be reached stays so for seconds, so that the latest time
-// that the caller can use is the best one.
+// Retry delay for a refused caller. Unreachable endpoints stay so for seconds, so the delay is then the longest that
+// the caller can use.
 Milliseconds comeBackIn(PlaceObstacle, Milliseconds timeLeft, double spread);
 
 } // namespace lupinknot::internal
--- a/src/admission/WaitingRoom.h
+++ b/src/admission/WaitingRoom.h
@@ -1,9 +1,9 @@
-// Counts the requests that wait in this VM, so that what they hold stays within bounds.
+// Bounds the number and total size of the requests that wait in this VM.
 //
 // Load pattern: a surge of callers while nothing can be served. Each waiting request holds a connection and its body; a
-// VM has some 160 MB for everything.
+// VM has about 160 MB for everything.
 //
-//     if (room.enter(bytes)) ...                              // room.leave(bytes) once it waits no more.
+//     if (room.enter(bytes)) ...                              // Call room.leave(bytes) when the wait ends.
 //
 // Not thread-safe.
 #pragma once
@@ -14,12 +14,12 @@
 
 class WaitingRoom {
 public:
-    // A small VM serves some hundred requests a second, and none waits longer than two seconds on usual routes.
+    // A small VM serves a few hundred requests a second, and none waits longer than two seconds on usual routes.
     static constexpr std::size_t mostRequests = 256;
     // A tenth of the memory of a small VM, 160 MB.
     static constexpr std::size_t mostBytes = 16U << 20U;
 
-    // Returns whether there was room.
+    // Returns false if a bound would be exceeded.
     bool enter(std::size_t bytes);
     void leave(std::size_t bytes);
     std::size_t count() const { return m_count; }
--- a/src/endpoint/EndpointOpening.h
+++ b/src/endpoint/EndpointOpening.h
@@ -1,4 +1,4 @@
-// When an endpoint takes a request again that takes none now.
+// When an endpoint that accepts no requests at present accepts one again.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -7,7 +7,7 @@
 
 struct EndpointOpening {
     Milliseconds at { 0 };
-    // What it waits for: the end of the endpoint's rest, or else a permit.
+    // True if the endpoint is in back-off until then (Retry-After); false if the request waits for a permit.
     bool isAfterRest { false };
 };
 
--- a/src/endpoint/EndpointSignals.h
+++ b/src/endpoint/EndpointSignals.h
@@ -1,10 +1,11 @@
-// What one start of an endpoint has told this VM about itself, and whether the VM may send to it.
+// What one incarnation of an endpoint (one run of its process) has told this VM about itself, and whether the VM may
+// send to it.
 //
-// An endpoint that rejects a request may ask this VM for a rest (Retry-After); other VMs may go on sending. An endpoint
-// that is about to end says so in its answers; that holds for all VMs and is final for the start.
+// An endpoint that rejects a request may ask this VM for a back-off with Retry-After; other VMs may go on sending. An
+// endpoint that is about to shut down says so in its answers; this holds for all VMs and is final for the incarnation.
 //
 //     signals.noteRest(time, now);
-//     if (signals.accepts(now)) ...               // Else not before signals.restsUntil(), or never if it leaves.
+//     if (signals.accepts(now)) ...               // If false: not before signals.restsUntil(), or never if it leaves.
 //
 // A plain value without input or output; not thread-safe.
 #pragma once
@@ -15,11 +16,12 @@
 
 class EndpointSignals {
 public:
-    // Takes over a rest that an answer asked for which came now. Returns true when a rest begins or lasts longer.
+    // Records a back-off of length `time` requested by an answer received now. Returns true if a back-off begins or is
+    // extended.
     bool noteRest(Milliseconds time, Milliseconds now);
-    // Returns true the first time.
+    // Records that the incarnation is shutting down. Returns true the first time.
     bool noteLeaving();
-    // Takes over what was known of the same start before.
+    // Adds what was recorded earlier about the same incarnation.
     void merge(const EndpointSignals&);
 
     Milliseconds restsUntil() const { return m_restsUntil; }
--- a/test/AttemptAdmissionTest.cpp
+++ b/test/AttemptAdmissionTest.cpp
@@ -35,7 +35,7 @@
     CHECK(judgeAttempt(state) == AttemptVerdict::Undecided);
 }
 
-// Only a request that has run nowhere may be answered with a promise that it has not.
+// Callers may be told that a request has not run only if no endpoint can have run it.
 TEST(AttemptAdmission, PromisesThatARequestHasNotRunOnlyIfItHasNot)
 {
     CHECK(refusalAfter(AttemptVerdict::Held, 0) == RefusalReason::HeldBack);
--- a/test/EndpointSignalsTest.cpp
+++ b/test/EndpointSignalsTest.cpp
@@ -20,7 +20,7 @@
     CHECK(signals.accepts(now + Milliseconds { 800 }));
 }
 
-// Answers to requests that were under way together may ask for rests of different length.
+// Answers to concurrent requests may ask for back-offs of different lengths.
 TEST(EndpointSignals, KeepsTheLongestOfOverlappingRests)
 {
     CHECK(signals.noteRest(Milliseconds { 3000 }, now));
--- a/test/StartupWaitTest.cpp
+++ b/test/StartupWaitTest.cpp
@@ -31,7 +31,8 @@
 {
     CHECK(decide(10, 10).action == StartupAction::Wait);
     CHECK_TEXT(decide(10, 10, {}, true).action == StartupAction::Wait, "a VM without endpoints cannot serve either");
-    CHECK_TEXT(decide(10, 10, {}, false, true).action == StartupAction::Wait, "nor one without routes");
+    CHECK_TEXT(
+        decide(10, 10, {}, false, true).action == StartupAction::Wait, "a VM without routes cannot serve either");
 }
 
 TEST(StartupWait, WaitsAnEighthOfTheCallersPatienceAtMost)
@@ -44,7 +45,7 @@
 TEST(StartupWait, AVmThatHasLongBeenUpRefusesAtOnce)
 {
     CHECK_TEXT(decide(longestStartup.count(), longestStartup.count()).action == StartupAction::Refuse,
-        "news that has not come so far is not about to come");
+        "configuration that is overdue is not expected soon");
 }
 
 TEST(StartupWait, ARequestWithARouteButNoEndpointGoesOnToTheRuleForPlaces)
@@ -52,8 +53,8 @@
     CHECK(decide(10, longestStartup.count(), {}, true).action == StartupAction::Serve);
 }
 
-// 295 VMs whose processes were killed are back, and learn their configuration after 40 ms in the middle and 70 ms in
-// the slowest twentieth; callers come as 320 a second. Without waiting each one that comes before is refused.
+// 295 killed VMs restart and learn their configuration after a median of 40 ms, 70 ms at the 95th percentile, while 320
+// callers a second arrive. Without waiting, every caller that arrives before the configuration is refused.
 TEST(StartupWait, ReplayOfARestartOfTheFleetServesThoseWhoWereRefused)
 {
     std::mt19937 random(1);
@@ -75,7 +76,7 @@
         else
             ++refused;
     }
-    CHECK_TEXT(refusedBefore >= 10, "the replayed load should meet VMs that know nothing yet");
+    CHECK_TEXT(refusedBefore >= 10, "the replayed load should reach VMs that have no configuration yet");
     LONGS_EQUAL(0, refused);
-    CHECK_TEXT(longestWait < Milliseconds { 150 }, "callers of quick calls must not notice");
+    CHECK_TEXT(longestWait < Milliseconds { 150 }, "callers of short calls must not notice the wait");
 }
--- a/test/WaitForPlaceTest.cpp
+++ b/test/WaitForPlaceTest.cpp
@@ -15,20 +15,20 @@
 
 constexpr Milliseconds usual { 60 };
 
-// What became of the callers of a replayed load.
+// Results of replaying a load.
 struct Outcome {
     int served { 0 };
     int lost { 0 };
     Milliseconds longestHeld { 0 };
 };
 
-// How a VM deals with a call that found no place.
+// How a VM treats a call that finds no capacity.
 enum class Rule {
-    RefuseAtOnce, // "Come back in 250 ms", whatever the cause.
+    RefuseAtOnce, // Tells the caller to retry after 250 ms, whatever the cause.
     WaitForPlace,
 };
 
-// One caller, with a retry.
+// A caller with one retry.
 struct Caller {
     Milliseconds deadline { 0 };
     Milliseconds arrivedAt { 0 };
@@ -42,7 +42,7 @@
     bool operator>(const Event& other) const { return at > other.at; }
 };
 
-// Plays callers against a service; takePlace(now) says whether a call that is sent then is served.
+// Replays callers against a service; takePlace(now) returns whether a call that is sent at that time is served.
 template <typename TakePlace>
 Outcome play(Rule rule, PlaceObstacle obstacle, Milliseconds trying, const std::vector<Event>& arrivals,
     const TakePlace& takePlace)
@@ -78,7 +78,7 @@
     return outcome;
 }
 
-// Callers with four seconds each, evenly spread at random over a time.
+// Callers with four seconds each, at random times uniformly distributed over `time`.
 std::vector<Event> arrivalsWithin(Milliseconds time, int count)
 {
     std::mt19937 random(3);
@@ -105,7 +105,7 @@
     LONGS_EQUAL(longestPause.count(), waitForPlace(call, usual, 0.5, Milliseconds { 10 }).pause.count());
     CHECK(waitForPlace(call, usual, 0.5, Milliseconds { 100 }).waits);
     CHECK_FALSE_TEXT(waitForPlace(call, usual, 0.5, Milliseconds { 101 }).waits,
-        "the other half of its time is for a try elsewhere");
+        "the other half of its time is reserved for a retry elsewhere");
 }
 
 TEST(WaitForPlace, RefusesAtOnceWhatCannotEndInTime)
@@ -122,8 +122,8 @@
     LONGS_EQUAL(0, comeBackIn(PlaceObstacle::Unreachable, Milliseconds { -5 }, 0.5).count());
 }
 
-// A zone is cut off for five seconds, 300 callers come meanwhile; the first call of a VM tries four endpoints for 80 ms
-// each, later ones one.
+// A zone is cut off for five seconds while 300 callers arrive. The first call of a VM tries four endpoints for 80 ms
+// each, later calls one.
 TEST(WaitForPlace, ReplayOfACutServesMostWhoWereLost)
 {
     constexpr Milliseconds cut { 5000 };
@@ -131,12 +131,12 @@
     const auto isOver = [cut](Milliseconds now) { return now >= cut; };
     const auto before = play(Rule::RefuseAtOnce, PlaceObstacle::Unreachable, Milliseconds { 320 }, arrivals, isOver);
     const auto after = play(Rule::WaitForPlace, PlaceObstacle::Unreachable, Milliseconds { 80 }, arrivals, isOver);
-    CHECK_TEXT(before.lost > 230, "the load should lose most callers by the rule before");
-    CHECK_TEXT(after.lost < 130, "three in five of the callers should be served now");
-    CHECK_TEXT(after.longestHeld <= Milliseconds { 2080 }, "nobody is held for more than half of its time");
+    CHECK_TEXT(before.lost > 230, "refusing at once should lose most callers of this load");
+    CHECK_TEXT(after.lost < 130, "waiting should serve three in five of the callers");
+    CHECK_TEXT(after.longestHeld <= Milliseconds { 2080 }, "no caller should wait for more than half of its time");
 }
 
-// A service of 36 places and 60 ms a call has been away: the calls of 0.6 s come at once.
+// A service with 36 slots and 60 ms a call returns after an outage: the calls of 0.6 s arrive at once.
 TEST(WaitForPlace, ReplayOfTheReturnOfAServiceLosesNobody)
 {
     auto arrivals = arrivalsWithin(Milliseconds { 2000 }, 500);
@@ -152,7 +152,7 @@
             return true;
         });
     };
-    CHECK_TEXT(run(Rule::RefuseAtOnce).lost > 0, "the load should lose some callers by the rule before");
+    CHECK_TEXT(run(Rule::RefuseAtOnce).lost > 0, "refusing at once should lose some callers of this load");
     LONGS_EQUAL(0, run(Rule::WaitForPlace).lost);
 }
 
@@ -162,7 +162,7 @@
 {
     WaitingRoom room;
     CHECK(room.enter(WaitingRoom::mostBytes));
-    CHECK_FALSE_TEXT(room.enter(1), "bodies must not take the memory that the VM needs");
+    CHECK_FALSE_TEXT(room.enter(1), "request bodies must not use the memory that the VM needs");
     room.leave(WaitingRoom::mostBytes);
     for (std::size_t i = 0; i < WaitingRoom::mostRequests; ++i)
         CHECK(room.enter(1));
@@ -181,5 +181,5 @@
     CHECK_FALSE(waitForOpening(call, Milliseconds { 700 }, usual, 0, Milliseconds { 100 }).waits);
     LONGS_EQUAL_TEXT(shortestPause.count(),
         waitForOpening(call, Milliseconds { 0 }, usual, 0, Milliseconds { 100 }).pause.count(),
-        "a place that was missed is not asked for again and again");
+        "a request that missed its slot should not retry in a tight loop");
 }
