--- a/src/limits/EndpointKeepers.h
+++ b/src/limits/EndpointKeepers.h
@@ -1,10 +1,11 @@
-// Says which VMs count for an endpoint under a limit, the first one and those that stand in for it.
+// Chooses the limit keepers of a rate-limited endpoint: the VM that issues the permits for it, followed by its
+// substitutes.
 //
-//     const auto numbers = chooseEndpointKeepers(startName, names, zones);
+//     const auto numbers = chooseEndpointKeepers(startName, { { name, availabilityZone }, ... });
 //
-// Rendezvous hashing, so that all VMs work the same ones out. Each lies in another availability zone than those before
-// it, if there is one: a zone that is cut off must not take all of them from the others.
-// A pure function of its arguments; thread-safe.
+// Uses rendezvous hashing, so that all VMs choose the same keepers. Each keeper is in another availability zone than
+// those before it, if possible, so that a zone that is cut off does not take all of them. A pure function of its
+// arguments; thread-safe.
 #pragma once
 
 #include <string>
@@ -12,7 +13,7 @@
 
 namespace lupinknot::internal {
 
-// How many VMs count for an endpoint, one after the other.
+// Keepers of an endpoint, including the substitutes.
 inline constexpr std::size_t keepersOfAnEndpoint = 3;
 
 struct KeeperCandidate {
@@ -20,7 +21,7 @@
     std::string availabilityZone;
 };
 
-// Numbers of the candidates, first to last.
+// Returns indices into the candidates, first keeper first.
 std::vector<std::size_t> chooseEndpointKeepers(const std::string& endpoint, const std::vector<KeeperCandidate>&);
 
 } // namespace lupinknot::internal
--- a/src/limits/HeardLimit.h
+++ b/src/limits/HeardLimit.h
@@ -1,13 +1,14 @@
-// What this VM believes of the requests a second that one endpoint takes from all VMs together.
+// The rate limit of one endpoint incarnation as known to this VM: the requests a second that it accepts from all VMs
+// together.
 //
-// An endpoint in need names its limit in its answers and names it no more once the need is over, so the newest answer
-// holds. Answers overtake each other: one that names no limit ends it only if its request was sent after the limit was
-// last heard of.
+// An overloaded endpoint states its limit in its answers and stops doing so when the overload ends, so the newest
+// answer holds. Answers may arrive out of order: an answer without a limit ends the limit only if its request was sent
+// after the limit was last heard.
 //
 //     switch (limit.noteAnswer(perSecond, sentAt, now)) ...
 //     if (limit.perSecond()) ...
 //
-// A plain value without input or output; it belongs to one start of an endpoint. Not thread-safe.
+// A plain value without input or output; it belongs to one endpoint incarnation. Not thread-safe.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -21,7 +22,7 @@
     Named,
     Changed,
     Ended,
-    Confirmed, // The same limit is heard again after a while in which nobody was known to have heard it.
+    Confirmed, // The same limit was heard again after a time in which no VM was known to have heard it.
 };
 
 inline constexpr std::array<EnumName<LimitChange>, 5> limitChangeNames { {
@@ -34,17 +35,17 @@
 
 class HeardLimit {
 public:
-    // A limit that was not heard for so long may have changed.
+    // A limit that has not been heard for this long may have changed.
     static constexpr Milliseconds believedFor { 1000 };
 
     bool isBelieved(Milliseconds now) const { return now - m_heardAt < believedFor; }
-    // Nothing when the endpoint takes what it gets.
+    // Empty if the endpoint states no limit.
     const std::optional<double>& perSecond() const { return m_perSecond; }
-    // When this was last said; 0 when nothing ever was.
+    // When the limit, or that there is none, was last heard; 0 if never.
     Milliseconds heardAt() const { return m_heardAt; }
-    // Takes over what an answer says that came now to a request sent at the instant.
+    // Records the limit in an answer that arrives now to a request sent at `sentAt`.
     LimitChange noteAnswer(std::optional<double> perSecond, Milliseconds sentAt, Milliseconds now);
-    // Takes over what another VM heard at the instant, if it is newer.
+    // Records what another VM heard at `heardAt`, if that is newer.
     LimitChange noteNews(std::optional<double> perSecond, Milliseconds heardAt);
 
 private:
--- a/src/limits/KeeperWatch.h
+++ b/src/limits/KeeperWatch.h
@@ -1,8 +1,9 @@
-// Which of the VMs that count for endpoints under a limit answer, as one VM sees it, and how much of a limit it gives
-// out itself when it stands in for one of them.
+// Tracks which limit keepers respond to this VM, and what share of a limit this VM issues when it substitutes for one
+// of them.
 //
-// Load pattern: the first VM that counts is killed, stands still or is cut off from some VMs, while others still ask
-// it. Those that do not reach it ask the next one, so that for a while two VMs count for the same endpoint.
+// Load pattern: the first keeper of an endpoint is killed, hangs or is cut off from some VMs while other VMs still
+// reach it. VMs that do not reach it ask the next keeper, so for a while two keepers issue permits for the same
+// endpoint.
 //
 //     if (!watch.isPassedOver(name, now)) ...                 // Ask it, then watch.noteAnswer(name, hasAnswered, now).
 //     const auto share = watch.shareOfSubstitute({ first }, now);
@@ -19,20 +20,20 @@
 
 class KeeperWatch {
 public:
-    // One that has not answered is asked again after this time.
+    // A keeper that has not answered is skipped for this long before it is asked again.
     static constexpr Milliseconds passedOverFor { 2000 };
-    // One that has not answered for this long has probably gone, and permits that it gave have been used.
+    // A keeper that has not answered for this long is probably gone, and the permits that it issued have been used.
     static constexpr Milliseconds goneAfter { 4000 };
 
     bool isPassedOver(const std::string& name, Milliseconds now) const;
-    // Returns true when the VM had answered until now and does not any more.
+    // Records whether the VM answered. Returns true if the VM has stopped answering.
     bool noteAnswer(const std::string& name, bool hasAnswered, Milliseconds now);
-    // The share of a limit that this VM gives out when those before it do not answer everybody: all of it once it has
-    // not reached any of them for long.
+    // The share of a limit that this VM issues as a substitute for the keepers `before` it: all of it once it has
+    // failed to reach every one of them for `goneAfter`.
     double shareOfSubstitute(const std::vector<std::string>& before, Milliseconds now) const;
 
 private:
-    // A VM that has not answered.
+    // A VM that does not answer.
     struct Silence {
         Milliseconds since;
         Milliseconds askedLastAt;
--- a/src/limits/LimitKeeper.cpp
+++ b/src/limits/LimitKeeper.cpp
@@ -7,17 +7,19 @@
 
 namespace {
 
-// An endpoint that nobody has asked for is forgotten after this time; VMs name its limit again when they ask.
+// State of an endpoint that nobody has asked for is dropped after this time; VMs state its limit again when they ask.
 constexpr Milliseconds forgottenAfter { 60'000 };
-// VMs that got no permit ask again one after the other, this far apart: with 300 of them that is 25 questions a second.
+// Bounds of the spacing at which VMs without a permit are told to ask again: with 300 VMs, 40 ms are 25 questions a
+// second.
 constexpr Milliseconds closestReturns { 40 };
 constexpr Milliseconds farthestReturns { 500 };
-// No VM stays away for longer than this as long as few ask, so that it hears soon that the limit has ended.
+// Maximum delay before a VM asks again while few are waiting, so that it soon hears that the limit has ended.
 constexpr Milliseconds longestReturn { 2000 };
-// A limit that nobody has heard for a while may have fallen meanwhile: requests go one at a time until one has told, as
-// VMs do that hear it again after a while (LimitChange::Confirmed).
+// Requests a second while the limit has not been heard for a while and may have fallen: requests go one at a time until
+// an answer confirms it, as VMs do when they hear it again (LimitChange::Confirmed).
 constexpr double doubtfulRate = 4;
-// Beyond this many, more than all VMs of a fleet, those that ask are told the time of the last one.
+// Maximum number of tracked return times, more than all VMs of a fleet; VMs beyond it are given the time of the last
+// one.
 constexpr std::size_t mostReturns = 1000;
 
 LimitNews newsOf(const HeardLimit& limit, Milliseconds now) { return { limit.perSecond(), now - limit.heardAt() }; }
@@ -69,7 +71,7 @@
     return { true, wait, newsOf(count.limit, now) };
 }
 
-// Those that got no permit come back spread, in the order in which they asked, the first when a place is free.
+// VMs that get no permit ask again in the order in which they asked, the first one when the next slot is free.
 Milliseconds LimitKeeper::returnAfter(Count& count, Milliseconds free, Milliseconds now)
 {
     auto& returns = count.returns;
--- a/src/limits/LimitKeeper.h
+++ b/src/limits/LimitKeeper.h
@@ -1,8 +1,9 @@
-// Gives out the permits for endpoints under a limit, for the VMs that ask this one.
+// Issues the permits for rate-limited endpoints to the VMs that ask this one.
 //
-// One VM counts for all, because shares that each VM keeps for itself waste what VMs without requests do not use, and
-// are a burst when many VMs each have one request in hand: 300 VMs with a permit each are 300 requests at an endpoint
-// that takes one a second. What it hears from those that ask orders itself by when it was heard (HeardLimit).
+// A single VM issues all permits of an endpoint, because a fixed share of the limit for each VM wastes the shares of
+// VMs without requests and permits bursts when many VMs have one request each: 300 VMs with one permit each are 300
+// requests at an endpoint that accepts one a second. Reports of the limit from the asking VMs are ordered by the time
+// at which it was heard (HeardLimit).
 //
 //     LimitKeeper keeper;
 //     const auto answer = keeper.ask(request, LimitKeeper::wholeShare, now);
@@ -21,28 +22,29 @@
 
 class LimitKeeper {
 public:
-    // The first place of an endpoint is there after a share of the time between two: a VM that begins to count does not
-    // know what was given out just before. VMs that count for themselves alone all begin at the same moment, when they
-    // lose the one that counted, and each has a share of its own.
+    // The first slot of an endpoint is delayed by this share of the interval between slots, because a new keeper does
+    // not know which permits were issued just before. VMs that become their own keeper all start at the same instant,
+    // when they lose the common one, so each is given a different share.
     explicit LimitKeeper(double firstPlaceAfter = 1)
         : m_firstPlaceAfter(firstPlaceAfter)
     {
     }
 
-    // Share of a limit that is given out: the rest covers permits that are used a little late.
+    // The share of a limit that is issued; the rest allows for permits that are used a little late.
     static constexpr double wholeShare = 0.95;
-    // The same where another VM may count for the same endpoint at the same time, because VMs know different lists of
-    // VMs or some cannot reach it. Both shares together, and what each lets through at its start, stay below the one
-    // and a half times that endpoints bear.
+    // The share issued when another VM may be issuing permits for the same endpoint, because VMs know different lists
+    // of VMs or some cannot reach the keeper. Both shares together, plus the first permits of each, stay below 1.5
+    // times the limit, which endpoints tolerate.
     static constexpr double substituteShare = 0.35;
-    // No more requests than this wait for places of one endpoint, so that a limit that falls finds few permits out.
+    // Maximum number of requests waiting for slots of one endpoint, so that few permits are outstanding when a limit
+    // falls.
     static constexpr int mostWaiting = 2;
 
     PermitAnswer ask(const PermitRequest&, double share, Milliseconds now);
     void tell(const std::string& endpoint, const LimitNews&, Milliseconds now);
-    // What it has heard of the endpoint's limit.
+    // The limit of the endpoint as known to this keeper.
     LimitNews news(const std::string& endpoint, Milliseconds now) const;
-    // Endpoints that are counted for.
+    // Number of endpoints with state.
     std::size_t size() const { return m_counts.size(); }
 
 private:
@@ -50,18 +52,18 @@
         HeardLimit limit;
         PermitSchedule schedule;
         bool hasBegun { false };
-        // When those that got no permit were told to ask again, oldest first.
+        // Times at which VMs without a permit were told to ask again, oldest first.
         std::deque<Milliseconds> returns;
         Milliseconds usedAt { 0 };
     };
 
     Count& countOf(const std::string& endpoint, Milliseconds now);
     void forgetUnused(Milliseconds now);
-    // When one that gets no permit should ask again; the next place is free after the time.
+    // Delay after which a VM without a permit should ask again; the next slot is free after `free`.
     static Milliseconds returnAfter(Count&, Milliseconds free, Milliseconds now);
 
     double m_firstPlaceAfter;
-    // By start of an endpoint.
+    // By endpoint incarnation.
     std::map<std::string, Count> m_counts;
 };
 
--- a/src/limits/LocalPermits.h
+++ b/src/limits/LocalPermits.h
@@ -1,4 +1,4 @@
-// Permits of a VM that knows no other one: it counts for itself alone.
+// Permits of a VM that knows no other VMs and is its own limit keeper.
 #pragma once
 
 #include "limits/LimitKeeper.h"
--- a/src/limits/PermitSchedule.h
+++ b/src/limits/PermitSchedule.h
@@ -1,9 +1,9 @@
-// Says when an endpoint under a limit may get its next request, for the one VM that counts for all.
+// Spaces the requests to one rate-limited endpoint; used by its limit keeper.
 //
-// Load pattern: an endpoint in need takes from a fifth of a request to some hundred a second from all VMs together, and
-// many VMs have requests for it at the same instant, or one of them has nearly all. So requests are spaced: each one
-// gets the next free place, now or a little later, and next to nothing is saved up while none comes, because what was
-// saved would arrive together.
+// Load pattern: an overloaded endpoint accepts between 0.2 and a few hundred requests a second from all VMs together,
+// and many VMs have requests for it at the same instant, or one VM has nearly all of them. Each request therefore gets
+// the next free slot, now or a little later. Hardly any unused slots are saved up, because the requests for them would
+// arrive together.
 //
 //     PermitSchedule schedule(now);
 //     schedule.setRate(perSecond, now);
@@ -23,26 +23,26 @@
     {
     }
 
-    // A rate above 0. A place that was far off under a slower rate comes nearer under a faster one.
+    // Sets the rate, which must be above 0. A faster rate brings the next slot nearer in proportion.
     void setRate(double perSecond, Milliseconds now);
-    // How long a request that comes now has to wait for its place.
+    // Time until the next free slot for a request that arrives now.
     Milliseconds waitFor(Milliseconds now) const;
-    // Takes that place.
+    // Takes the next free slot.
     void take(Milliseconds now);
-    // Puts the next place off by a share of the time between two.
+    // Delays the next slot by a share of the interval.
     void delay(double share) { m_nextAt += share * m_interval; }
-    // The time between two places.
+    // Time between two slots.
     Milliseconds interval() const { return Milliseconds { static_cast<std::int64_t>(m_interval) }; }
 
-    // An endpoint that takes nothing until it says otherwise is asked this often: only its answers tell of the change.
+    // Rate in requests a second for an endpoint that accepts nothing: only its answers tell when that changes.
     static constexpr double slowestRate = 0.1;
-    // A place that no request took is kept for so long: who is told to come back for it comes a little later. It adds
-    // as much of the limit to the busiest seconds.
+    // An unused slot stays available for this long, because a VM that is told to return for it arrives a little later.
+    // This adds that much of the limit to the busiest seconds.
     static constexpr Milliseconds placesKeptFor { 400 };
 
 private:
     double m_interval { 1000 };
-    // When the place after the last one that was taken begins, in milliseconds with their fraction.
+    // Start of the next slot, in milliseconds with a fraction.
     double m_nextAt;
 };
 
--- a/src/limits/PermitSource.h
+++ b/src/limits/PermitSource.h
@@ -1,8 +1,9 @@
-// Where a VM asks whether it may send a request to an endpoint under a limit, and tells what it has heard of one.
+// Interface through which a VM asks for permits to send requests to rate-limited endpoints, and reports the limits that
+// it hears.
 //
 //     permits.ask({ startName, limit, patience }, [](const PermitAnswer& answer) { ... });
 //
-// Used on the relay's thread only; it outlives its questions' answers or drops them.
+// Used on the relay's thread only. It outlives the answers to its questions or drops them.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -12,27 +13,27 @@
 
 namespace lupinknot::internal {
 
-// What one VM has heard of an endpoint's limit.
+// What a VM has heard of an endpoint's limit.
 struct LimitNews {
-    // Requests a second; nothing when the endpoint names no limit.
+    // Requests a second; empty if the endpoint states no limit.
     std::optional<double> perSecond;
-    // How long ago it was heard.
+    // Time since it was heard.
     Milliseconds age { 0 };
 };
 
 struct PermitRequest {
-    // Names the start of the endpoint (EndpointEntry::startName).
+    // Identifies the endpoint incarnation (EndpointEntry::startName).
     std::string endpoint;
     LimitNews news;
-    // How long the request can wait for its place.
+    // How long the request can wait for its slot.
     Milliseconds patience { 0 };
 };
 
 struct PermitAnswer {
     bool isGranted { false };
-    // Until the request may be sent, or, without a permit, until asking again may help.
+    // Time until the request may be sent or, without a permit, until asking again may help.
     Milliseconds wait { 0 };
-    // What is known of the limit where it was asked.
+    // The limit as known to the VM that was asked.
     LimitNews news;
 };
 
@@ -41,7 +42,7 @@
     virtual ~PermitSource() = default;
     // Calls back once, never before it returns.
     virtual void ask(const PermitRequest&, std::function<void(const PermitAnswer&)>) = 0;
-    // Passes news of a limit on without asking for a permit.
+    // Reports a limit without asking for a permit.
     virtual void tell(const std::string& endpoint, const LimitNews&) = 0;
 };
 
--- a/test/LimitKeeperTest.cpp
+++ b/test/LimitKeeperTest.cpp
@@ -24,7 +24,7 @@
     CHECK_FALSE(limit.perSecond().has_value());
 }
 
-// The answer may have been made before the endpoint was in need.
+// The answer may have been produced before the endpoint was overloaded.
 TEST(HeardLimit, IsNotEndedByAnAnswerToARequestThatWasSentBeforeItWasHeard)
 {
     limit.noteAnswer(1.0, Milliseconds { 1 }, Milliseconds { 10 });
@@ -44,7 +44,7 @@
     LimitKeeper keeper;
     Milliseconds now { 100000 };
 
-    // Until the first place is there.
+    // Advances until the first slot is available.
     void begin(double perSecond)
     {
         ask(perSecond);
@@ -56,7 +56,7 @@
         return keeper.ask({ "e1", { perSecond, Milliseconds { 0 } }, patience }, LimitKeeper::wholeShare, now);
     }
 
-    // Asks each so many milliseconds for a minute; the most that were granted within any four seconds.
+    // Asks at this interval for a minute and returns the maximum number granted within any four seconds.
     std::size_t mostInFourSeconds(double perSecond, Milliseconds every)
     {
         std::vector<Milliseconds> granted;
@@ -73,7 +73,7 @@
     }
 };
 
-// The load of a fleet that always has requests for an endpoint in need, from one a second for all to hundreds.
+// A fleet that always has requests for an overloaded endpoint, with limits from 0.2 to 200 requests a second.
 TEST(LimitKeeper, GivesOutNoMoreThanTheLimitWithinFourSecondsAndNearlyAllOfIt)
 {
     for (const auto perSecond : { 0.2, 1.0, 2.3, 20.0, 200.0 }) {
@@ -84,7 +84,7 @@
     }
 }
 
-// One that starts again does not know what was given out just before.
+// A keeper that restarts does not know which permits were issued just before.
 TEST(LimitKeeper, GivesOutTheFirstPlaceWhenOneCouldHaveBeenGivenOutBefore)
 {
     CHECK_FALSE(ask(1).isGranted);
@@ -127,7 +127,7 @@
     CHECK_FALSE(ask(1).isGranted);
     now += Milliseconds { 10 };
     keeper.tell("e1", { std::nullopt, Milliseconds { 0 } }, now);
-    // A VM that has not heard it yet asks with what it knew.
+    // A VM that has not heard of the end asks with the old limit.
     const auto answer
         = keeper.ask({ "e1", { 1.0, Milliseconds { 500 } }, Milliseconds { 0 } }, LimitKeeper::wholeShare, now);
     CHECK(answer.isGranted);
