--- a/src/quarantine/CrashRecord.h
+++ b/src/quarantine/CrashRecord.h
@@ -1,4 +1,4 @@
-// One end of an endpoint that speaks against a request. VMs tell each other of them.
+// The loss of one endpoint that counts as evidence against a request. VMs exchange these records.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -8,18 +8,19 @@
 namespace lupinknot::internal {
 
 struct CrashRecord {
-    // Of the request (digestOf).
+    // Identifies the request (digestOf).
     std::string digest;
-    // The start of the endpoint that ended, and where it was.
+    // The endpoint incarnation that was lost, and its address.
     std::string endpointId;
     std::string address;
-    // How far it speaks against the request (crashWeight).
+    // Weight of the evidence (crashWeight).
     double weight { 0 };
-    // How long the endpoint had worked on it.
+    // How long the endpoint had worked on the request.
     Milliseconds workedFor { 0 };
-    // The request had been held before and was let in again: this is the trial's end.
+    // The loss ended a trial: the request had been held before and was admitted again.
     bool endsTrial { false };
-    // When the run was sent and lost, by the time of day of the VM that saw it, in milliseconds.
+    // When the request was sent to the endpoint and when it was lost: wall-clock time of the VM that saw it, in
+    // milliseconds.
     std::int64_t sentAt { 0 };
     std::int64_t lostAt { 0 };
 };
--- a/src/quarantine/CrashReports.h
+++ b/src/quarantine/CrashReports.h
@@ -1,6 +1,6 @@
-// Where VMs tell each other which endpoints have ended under which requests.
+// Interface through which VMs tell each other which endpoints crashed under which requests.
 //
-// What is told holds for all VMs, also for those that start later. Used on the relay's thread only.
+// Records reach all VMs, including those that start later. Used on the relay's thread only.
 #pragma once
 
 #include "quarantine/CrashRecord.h"
@@ -12,7 +12,7 @@
 public:
     virtual ~CrashReports() = default;
     virtual void publish(const CrashRecord&) = 0;
-    // Takes records back: the request has been served.
+    // Withdraws records of a request that has been served.
     virtual void withdraw(const std::string& digest, const std::vector<std::string>& endpointIds) = 0;
 };
 
--- a/src/quarantine/CrashWeight.cpp
+++ b/src/quarantine/CrashWeight.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-// Endpoints ended 42 to 116 ms after the beginning (17 crashes); a quarter of a second more is for links and a busy VM.
-// Of the other requests of an engine, which take 4 to 8 s, one in twenty has begun so lately (reckoned).
+// Endpoints crashed 42 to 116 ms after the beginning of the run (17 crashes); another 250 ms covers network delay and a
+// busy VM. Of an engine's other requests, which take 4 to 8 s, one in twenty has begun this recently.
 constexpr Milliseconds justBegun { 350 };
-// A call that is lost sooner than an endpoint could have done anything may have met one that had ended already, behind
-// something that still took connections.
+// Shorter than an endpoint can have worked on the request: the endpoint may have crashed before, behind a proxy that
+// still accepted connections.
 constexpr Milliseconds shortestWork { 5 };
-// A run that was lost after so much of its answer is one of many that an endpoint had.
+// A run lost after producing its answer for this long is one of many that the endpoint was running.
 constexpr Milliseconds longRun { 3000 };
 constexpr Milliseconds shortestProof { 1000 };
 constexpr int proofOfWork = 3;
 
-// Kinds of failure that the end of an endpoint looks like.
+// Failures that look like a crash of the endpoint.
 bool looksLikeAnEnd(FailureKind kind)
 {
     return kind == FailureKind::ConnectionLost || kind == FailureKind::EarlyEnd || kind == FailureKind::Silent;
@@ -33,14 +33,15 @@
     switch (run.beginning) {
     case RunBeginning::NotYet:
         return 0;
-    // To read a prompt takes longer than this: the engine had gone already, behind something that took the connection.
+    // Reading a prompt takes longer than this: the engine had crashed before, behind a proxy that accepted the
+    // connection.
     case RunBeginning::Hidden:
         return run.workedFor < shortestWork ? 0 : halfSuspicion;
     case RunBeginning::Producing:
         if (run.workedFor >= longRun)
             return 0;
         break;
-    // Without an event nothing clears it.
+    // Without an event there is no evidence in favour of the request.
     case RunBeginning::Begun:
         break;
     case RunBeginning::Assumed:
--- a/src/quarantine/CrashWeight.h
+++ b/src/quarantine/CrashWeight.h
@@ -1,11 +1,13 @@
-// Decides how far the end of an endpoint speaks against one request that it was running.
+// Decides how strongly the crash of an endpoint counts as evidence against one request that it was running.
 //
-// Load pattern: a request ends each endpoint that begins it, 42 to 116 ms after the beginning, and is then sent to
-// the next one. The endpoint's other requests are lost with it; most of them had run for seconds or were still waiting.
+// Load pattern: a request crashes each endpoint that begins it, 42 to 116 ms after the beginning, and is then sent to
+// the next endpoint. The endpoint's other requests are lost with it; most of them had run for seconds or were still
+// waiting.
 //
-// A request counts as fully suspect when the endpoint had just begun it, as half suspect when it had worked on it for a
-// while or when the service does not show what it has begun, and not at all when it had not begun it, cannot have begun
-// it in so short a time, had made events of it for long, or was about to leave. Pure; no state.
+// A request is fully suspect if the endpoint had just begun it. It is half suspect if the endpoint had worked on it for
+// a while, or if the service does not show which requests it has begun. It is not suspect if the endpoint had not begun
+// it, cannot have begun it in so short a time, had produced events of it for long, or was shutting down. Pure; no
+// state.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -14,13 +16,13 @@
 
 namespace lupinknot::internal {
 
-// What the answer shows of the moment at which the endpoint began to run the request.
+// What the response shows about the time at which the endpoint began to run the request.
 enum class RunBeginning {
-    Producing, // Events had come.
-    Begun, // The head of the answer had come.
-    NotYet, // It had not, and heads of this service come before the first event.
-    Hidden, // Heads of this service say nothing of it: they come with the first event, or long before it.
-    Assumed, // A call with a whole answer: it begins as soon as the endpoint has a place.
+    Producing, // Events had arrived.
+    Begun, // The response header had arrived.
+    NotYet, // The header had not arrived, and this service sends it before the first event.
+    Hidden, // The header does not tell: this service sends it with the first event, or long before the run begins.
+    Assumed, // A call with a complete response, which begins as soon as the endpoint has capacity.
 };
 
 inline constexpr std::array<EnumName<RunBeginning>, 5> runBeginningNames { {
@@ -35,20 +37,21 @@
 struct UnfinishedRun {
     FailureKind failure { FailureKind::ConnectionLost };
     RunBeginning beginning { RunBeginning::Hidden };
-    // From the first event, else from the head, else from the sending, to the last sign of the endpoint.
+    // Time from the first event, or else from the header, or else from the sending, to the last sign of life of the
+    // endpoint.
     Milliseconds workedFor { 0 };
-    // The endpoint had said that it leaves.
+    // The endpoint had announced its shutdown.
     bool wasLeaving { false };
 };
 
 inline constexpr double fullSuspicion = 1;
 inline constexpr double halfSuspicion = 0.5;
 
-// From 0 to fullSuspicion.
+// Returns a value from 0 to fullSuspicion.
 double crashWeight(const UnfinishedRun&);
 
-// True when a run that has made events for so long shows that the request does not end what begins it: much longer than
-// any endpoint had worked on it that has ended under it.
+// True if a run that has produced events for `producedFor` shows that the request does not crash endpoints: it lasted
+// much longer than any run of the request that was lost.
 bool provesHarmless(Milliseconds producedFor, Milliseconds longestWork);
 
 } // namespace lupinknot::internal
--- a/src/quarantine/EndpointLosses.cpp
+++ b/src/quarantine/EndpointLosses.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-// One other endpoint may go by chance at the same moment. Reckoned for engines that crash 1.5 times a second in four
-// zones: one more of a zone's does so in a third of the cases, and two in one of twenty.
+// One other endpoint may be lost by chance at the same time. For engines that crash 1.5 times a second in four zones,
+// the probability of one more loss in the zone is a third, and of two more 5 %.
 constexpr std::size_t othersByZone = 2;
-// Of a service without zones of any size, half of the others.
+// A loss is also correlated if half of the service's other endpoints were lost, and at least this many. This covers
+// services whose zones have too few endpoints to tell.
 constexpr std::size_t leastOthersByService = 2;
-// Losses are kept for as long as a judgement looks back, and never more than a fleet of engines. No endpoint is back
-// within this time: whatever is sent to one until then meets it as it was lost.
+// Losses are kept for as long as an evaluation looks back. No endpoint restarts within this time: a request sent to it
+// until then finds it lost. `mostKept` is more than the engines of a fleet.
 constexpr Milliseconds keptFor { 3 * EndpointLosses::moment };
 constexpr std::size_t mostDigests = 16;
 constexpr std::size_t mostKept = 4096;
--- a/src/quarantine/EndpointLosses.h
+++ b/src/quarantine/EndpointLosses.h
@@ -1,9 +1,9 @@
-// The endpoints that this VM has lost lately, and whether one of them went together with others.
+// Records the endpoints that this VM has lost recently and decides whether a loss was correlated with others.
 //
-// Load pattern: a zone's endpoints, or most of a service's, end within a moment of each other. Whatever ran there has
-// lost its endpoint with others and is not to blame. Endpoints that were lost under the same request do not count as
-// others: a request that ends whatever runs it makes such a row by itself, within one attempt and over several.
-// Used on the relay's thread only.
+// Load pattern: the endpoints of a zone, or most endpoints of a service, go down almost simultaneously. The requests
+// that ran there are not to blame. Endpoints lost under the same request do not count as others, because a request that
+// crashes whatever runs it causes such a series by itself, within one attempt and over several. Used on the relay's
+// thread only.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -14,16 +14,16 @@
 namespace lupinknot::internal {
 
 struct EndpointLoss {
-    // Names the start of the endpoint.
+    // The endpoint incarnation.
     std::string endpointId;
     std::string service;
     std::string zone;
-    // Of the request that has seen it (digestOf).
+    // Identifies the request under which the loss was seen (digestOf).
     std::string digest;
     Milliseconds at { 0 };
 };
 
-// How many other endpoints there are beside the lost one.
+// Numbers of endpoints, without the lost one.
 struct OtherEndpoints {
     std::size_t inZone { 0 };
     std::size_t inService { 0 };
@@ -31,19 +31,20 @@
 
 class EndpointLosses {
 public:
-    // Of an endpoint that has shown life since its last loss, this is another one.
+    // Records a loss. If the endpoint has shown life since its last recorded loss (`lastLife`), this is a new loss;
+    // otherwise it is another request's view of the same one.
     void note(EndpointLoss, Milliseconds lastLife);
-    // True when the endpoint was lost before the instant and had shown no life since: whatever was sent to it then has
-    // not ended it.
+    // True if the endpoint was lost before `instant` and has shown no life since, so that a request sent at `instant`
+    // did not crash it.
     bool wasLostBefore(const std::string& endpointId, Milliseconds instant, Milliseconds lastLife) const;
-    // True when enough others went within the moment to explain the loss.
+    // True if enough other endpoints were lost within `moment` to explain the loss.
     bool wentWithOthers(const EndpointLoss&, const OtherEndpoints&) const;
 
-    // Losses so close to each other are one event: breaks are seen at once, silence within some 300 ms.
+    // Losses this close together count as one event: broken connections are seen at once, silence within about 300 ms.
     static constexpr Milliseconds moment { 500 };
 
 private:
-    // One endpoint, whoever has seen it go.
+    // One lost endpoint, with all requests under which the loss was seen.
     struct Lost {
         EndpointLoss first;
         std::vector<std::string> digests;
--- a/src/quarantine/Quarantine.cpp
+++ b/src/quarantine/Quarantine.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// What a further end at the same address counts.
+// Weight of a further crash at the same address.
 constexpr double repeatShare = 0.5;
 
 bool wereLostTogether(const CrashRecord& a, const CrashRecord& b)
@@ -133,7 +133,7 @@
         records.push_back(&entry.second.record);
     std::sort(records.begin(), records.end(), [](const auto* a, const auto* b) { return a->lostAt < b->lostAt; });
     std::vector<const CrashRecord*> counted;
-    // The greatest weight of each address counts whole.
+    // The greatest weight of each address counts in full.
     std::map<std::string, double> greatest;
     double sum = 0;
     for (const auto* record : records) {
--- a/src/quarantine/RequestDigest.cpp
+++ b/src/quarantine/RequestDigest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The length goes in before the text, so that the border between two texts counts.
+// Each text is preceded by its length, so that moving the boundary between two texts changes the digest.
 void add(XXH3_state_t& state, std::string_view text)
 {
     const auto length = static_cast<std::uint64_t>(text.size());
--- a/src/quarantine/RequestDigest.h
+++ b/src/quarantine/RequestDigest.h
@@ -1,8 +1,8 @@
-// Names what a request asks for, so that it is recognised when its caller sends it again, at whichever VM.
+// Identifies the content of a request, so that it is recognised when its caller sends it again to any VM.
 //
-// Two attempts of one caller differ in their request ids and perhaps in the key that they present; what engines work on
-// is the same. The digest follows from the host, the method, the target and the body, and from the organisation, apart
-// from the rest, so that no organisation can make a request that is taken for another one's.
+// Attempts of one caller may differ in request id and key, but the work for the engines is the same. The digest covers
+// the host, method, target and body. The organisation is hashed separately, so that no organisation can create a
+// request with the digest of another organisation's request.
 #pragma once
 
 #include <string>
@@ -12,7 +12,7 @@
 
 struct HttpRequest;
 
-// Hexadecimal digits, the same in every process. The organisation is empty on public routes.
+// Number of hexadecimal digits. The digest is the same in every process. The organisation is empty on public routes.
 inline constexpr std::size_t digestLength = 48;
 std::string digestOf(const HttpRequest&, std::string_view organisation);
 
--- a/src/quarantine/ServedRequests.h
+++ b/src/quarantine/ServedRequests.h
@@ -1,7 +1,7 @@
-// The requests that have been served lately, by their digests.
+// Remembers the digests of recently served requests.
 //
-// Load pattern: many callers ask for the same at once, and engines crash around them. A request that endpoints have
-// just served does not end each endpoint that begins it, however many it has lost. Used on the relay's thread only.
+// Load pattern: many callers send the same request at once while engines crash. A request that has just been served
+// does not crash every endpoint that begins it, however many endpoints it has lost. Used on the relay's thread only.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -16,9 +16,9 @@
     void note(const std::string& digest, Milliseconds now);
     bool has(const std::string& digest, Milliseconds now) const;
 
-    // Longer than a request takes, shorter than it takes until a new version of the endpoints' software is everywhere.
+    // Longer than a request takes, shorter than the rollout of a new version of the endpoints' software.
     static constexpr Milliseconds keptFor { 30'000 };
-    // A VM serves some tens of requests a second; beyond these the oldest are forgotten.
+    // A VM serves some tens of requests a second; beyond this number the oldest are removed.
     static constexpr std::size_t mostKept = 4000;
 
 private:
@@ -27,7 +27,7 @@
         Milliseconds at;
     };
 
-    // Oldest first; a digest that was served again stands here more than once.
+    // Oldest first; a digest that was served again has several entries.
     std::deque<Served> m_order;
     std::unordered_map<std::string, Milliseconds> m_servedAt;
 };
--- a/src/quarantine/Standing.h
+++ b/src/quarantine/Standing.h
@@ -1,11 +1,11 @@
-// Whether a request may be sent to an endpoint, as far as endpoints have ended under it.
+// Whether the quarantine allows a request to be sent to an endpoint.
 #pragma once
 
 namespace lupinknot::internal {
 
 enum class Standing {
     Free,
-    UnderJudgement, // Wait; what has just been lost under it is being judged.
+    UnderJudgement, // Wait: recent losses under the request are not evaluated yet.
     Held,
 };
 
--- a/test/CrashWeightTest.cpp
+++ b/test/CrashWeightTest.cpp
@@ -14,7 +14,7 @@
 
 TEST(CrashWeight, IsFullForARunThatHadJustBegun)
 {
-    // What was seen: engines ended 40 to 120 ms after the beginning.
+    // Engines crashed 40 to 120 ms after the beginning of the run.
     for (const auto workedFor : { 0, 40, 120 }) {
         DOUBLES_EQUAL(fullSuspicion, weight(RunBeginning::Begun, workedFor), 0);
         DOUBLES_EQUAL(fullSuspicion, weight(RunBeginning::Producing, workedFor), 0);
@@ -29,15 +29,15 @@
     DOUBLES_EQUAL(halfSuspicion, weight(RunBeginning::Producing, 1000), 0);
     DOUBLES_EQUAL(halfSuspicion, weight(RunBeginning::Assumed, 1000), 0);
     DOUBLES_EQUAL(halfSuspicion, weight(RunBeginning::Hidden, 50), 0);
-    DOUBLES_EQUAL_TEXT(halfSuspicion, weight(RunBeginning::Assumed, 2), 0, "the endpoint may have been gone already");
-    DOUBLES_EQUAL_TEXT(
-        halfSuspicion, weight(RunBeginning::Begun, 9000), 0, "engines that end under a request end soon");
+    DOUBLES_EQUAL_TEXT(halfSuspicion, weight(RunBeginning::Assumed, 2), 0, "the endpoint may have crashed before");
+    DOUBLES_EQUAL_TEXT(halfSuspicion, weight(RunBeginning::Begun, 9000), 0,
+        "a request that crashes engines does so soon after its beginning");
 }
 
 TEST(CrashWeight, IsNoneForARunThatHadNotBegunOrHadShownItself)
 {
     DOUBLES_EQUAL(0, weight(RunBeginning::NotYet, 50), 0);
-    DOUBLES_EQUAL_TEXT(0, weight(RunBeginning::Hidden, 4), 0, "a prompt is not read in so short a time");
+    DOUBLES_EQUAL_TEXT(0, weight(RunBeginning::Hidden, 4), 0, "reading a prompt takes longer than this");
     DOUBLES_EQUAL(halfSuspicion, weight(RunBeginning::Hidden, 5), 0);
     DOUBLES_EQUAL(0, weight(RunBeginning::Producing, 3000), 0);
 }
@@ -58,6 +58,7 @@
 {
     CHECK_FALSE(provesHarmless(Milliseconds { 999 }, Milliseconds { 60 }));
     CHECK(provesHarmless(Milliseconds { 1000 }, Milliseconds { 60 }));
-    CHECK_FALSE_TEXT(provesHarmless(Milliseconds { 5999 }, Milliseconds { 2000 }), "it may end its engine late");
+    CHECK_FALSE_TEXT(
+        provesHarmless(Milliseconds { 5999 }, Milliseconds { 2000 }), "the request may crash its engine late");
     CHECK(provesHarmless(Milliseconds { 6000 }, Milliseconds { 2000 }));
 }
--- a/test/EndpointLossesTest.cpp
+++ b/test/EndpointLossesTest.cpp
@@ -56,11 +56,12 @@
     for (int i = 0; i < 3; ++i) {
         const auto id = "a" + std::to_string(i);
         losses.note(loss(id, "a", 1000 + 60 * i, "d"), Milliseconds { 0 });
-        // Another one that was there, each time a different one.
+        // Another request on the same endpoint, a different one each time.
         losses.note(loss(id, "a", 1000 + 60 * i), Milliseconds { 0 });
     }
     CHECK_FALSE(losses.wentWithOthers(loss("a0", "a", 1000, "d"), manyOthers));
-    CHECK_TEXT(losses.wentWithOthers(loss("a0", "a", 1000), manyOthers), "those that were there lost it with others");
+    CHECK_TEXT(losses.wentWithOthers(loss("a0", "a", 1000), manyOthers),
+        "the other requests on these endpoints lost them in a group");
 }
 
 TEST(EndpointLosses, OthersOfAnotherMomentOrServiceExplainNothing)
@@ -77,8 +78,10 @@
 {
     losses.note(loss("a1", "a", 1000), Milliseconds { 900 });
     CHECK(losses.wasLostBefore("a1", Milliseconds { 1001 }, Milliseconds { 900 }));
-    CHECK_FALSE_TEXT(losses.wasLostBefore("a1", Milliseconds { 950 }, Milliseconds { 900 }), "it was sent before");
-    CHECK_FALSE_TEXT(losses.wasLostBefore("a1", Milliseconds { 1500 }, Milliseconds { 1400 }), "it has lived since");
+    CHECK_FALSE_TEXT(
+        losses.wasLostBefore("a1", Milliseconds { 950 }, Milliseconds { 900 }), "the request was sent before the loss");
+    CHECK_FALSE_TEXT(losses.wasLostBefore("a1", Milliseconds { 1500 }, Milliseconds { 1400 }),
+        "the endpoint has shown life since the loss");
     CHECK_FALSE(losses.wasLostBefore("a2", Milliseconds { 1001 }, Milliseconds { 900 }));
 }
 
--- a/test/QuarantineTest.cpp
+++ b/test/QuarantineTest.cpp
@@ -10,7 +10,7 @@
 {
     static constexpr Milliseconds start { 1000 };
 
-    // The first of the VMs to end its holds.
+    // The VM whose holds end first.
     Quarantine quarantine { "" };
 
     bool add(const std::string& id, double weight = fullSuspicion, Milliseconds now = start, bool isShared = false)
@@ -70,8 +70,8 @@
     const auto later = quarantine.heldUntil("d");
     CHECK(quarantine.admit("d", later));
     CHECK_FALSE(quarantine.admit("d", later));
-    CHECK_FALSE_TEXT(quarantine.isHeld("d", later), "the trial itself goes on");
-    CHECK_TEXT(quarantine.admit("d", later + Quarantine::longestTrial), "a trial of which nothing is heard is over");
+    CHECK_FALSE_TEXT(quarantine.isHeld("d", later), "the trial itself may continue");
+    CHECK_TEXT(quarantine.admit("d", later + Quarantine::longestTrial), "a trial without a result counts as ended");
 }
 
 TEST(Quarantine, HoldsARequestForLongWhoseTrialHasEndedItsEndpoint)
@@ -93,7 +93,7 @@
     CHECK(quarantine.admit("d", later));
 }
 
-// A VM that starts again reads all records at once.
+// A VM that restarts reads all records at once.
 TEST(Quarantine, KnowsFromTheRecordsThatATrialHasFailed)
 {
     quarantine.add({ "d", "e9", "at e9", fullSuspicion, Milliseconds { 60 }, true }, start, true);
@@ -130,19 +130,20 @@
 TEST(Quarantine, TellsOtherVmsOnceAndOnlyOfWhatAmountsToAFullSuspicion)
 {
     add("e1", halfSuspicion);
-    LONGS_EQUAL_TEXT(0, quarantine.takeUnshared("d").size(), "half suspicions are mostly chance");
+    LONGS_EQUAL_TEXT(
+        0, quarantine.takeUnshared("d").size(), "a single half suspicion is probably chance and is not shared");
     add("e2", halfSuspicion);
     LONGS_EQUAL(2, quarantine.takeUnshared("d").size());
     LONGS_EQUAL(0, quarantine.takeUnshared("d").size());
     add("e3", fullSuspicion, start, true);
-    LONGS_EQUAL_TEXT(0, quarantine.takeUnshared("d").size(), "what another VM has told need not be told again");
+    LONGS_EQUAL_TEXT(0, quarantine.takeUnshared("d").size(), "a record from another VM need not be sent again");
 }
 
 TEST(Quarantine, TakesBackWhatWouldSoonHoldARequestThatHasBeenServed)
 {
     addFull(1);
     quarantine.takeUnshared("d");
-    LONGS_EQUAL_TEXT(0, quarantine.clear("d").size(), "one record holds nothing");
+    LONGS_EQUAL_TEXT(0, quarantine.clear("d").size(), "a single record is far from holding the request");
     addFull(2);
     quarantine.takeUnshared("d");
     LONGS_EQUAL(2, quarantine.clear("d").size());
@@ -155,8 +156,8 @@
     CHECK_FALSE(quarantine.isHeld("d", start));
 }
 
-// Found by the soak, seed 210: all callers asked for the same, three engines ended at one instant under three of them,
-// and nobody was served for 20 s.
+// Concurrent runs of the same request by many callers: three engines crashed at one instant under three of them, the
+// request was held, and nobody was served for 20 s.
 TEST(Quarantine, RunsSideBySideThatAreLostTogetherCountAsOne)
 {
     for (int i = 0; i < 5; ++i) {
@@ -178,7 +179,7 @@
     CHECK(quarantine.isHeld("d", start));
 }
 
-// A VM that starts again hears of old ends: the hold ends when it would have ended.
+// A VM that restarts learns of old crashes: the hold ends when it would have ended without the restart.
 TEST(Quarantine, IsHeldFromTheLastEndOnWhateverIsHeardLater)
 {
     add("e3", fullSuspicion, start + Milliseconds { 300 }, true);
@@ -195,7 +196,7 @@
         quarantine.add(
             { std::to_string(i), "e", "a", fullSuspicion, Milliseconds { 60 } }, start + Milliseconds { 1 } * i, false);
     LONGS_EQUAL(Quarantine::mostSuspects, quarantine.suspectCount());
-    CHECK_FALSE_TEXT(quarantine.isSuspect("0"), "the one that has been quiet for longest goes");
+    CHECK_FALSE_TEXT(quarantine.isSuspect("0"), "the suspect with the oldest last crash should be removed");
     for (std::size_t i = 0; i < 2 * Quarantine::mostRecordsOfOne; ++i)
         add("e" + std::to_string(i));
     LONGS_EQUAL(Quarantine::mostRecordsOfOne, quarantine.takeUnshared("d").size());
--- a/test/RequestDigestTest.cpp
+++ b/test/RequestDigestTest.cpp
@@ -25,11 +25,11 @@
 
 TEST(RequestDigest, DiffersWhereTheWorkDiffers)
 {
-    checkDiffers({ "GET", "/plan/7", { { "Host", "h" } }, "body" }, "another method");
-    checkDiffers({ "POST", "/plan/8", { { "Host", "h" } }, "body" }, "another target");
-    checkDiffers({ "POST", "/plan/7", { { "Host", "g" } }, "body" }, "another host");
-    checkDiffers({ "POST", "/plan/7", { { "Host", "h" } }, "Body" }, "another body");
-    checkDiffers({ "POST", "/plan/7b", { { "Host", "h" } }, "ody" }, "a border that has moved");
+    checkDiffers({ "GET", "/plan/7", { { "Host", "h" } }, "body" }, "different method");
+    checkDiffers({ "POST", "/plan/8", { { "Host", "h" } }, "body" }, "different target");
+    checkDiffers({ "POST", "/plan/7", { { "Host", "g" } }, "body" }, "different host");
+    checkDiffers({ "POST", "/plan/7", { { "Host", "h" } }, "Body" }, "different body");
+    checkDiffers({ "POST", "/plan/7b", { { "Host", "h" } }, "ody" }, "a moved boundary between target and body");
 }
 
 TEST(RequestDigest, OfTwoOrganisationsNeverMeet)
@@ -37,6 +37,6 @@
     const auto one = digestOf(request, "o");
     const auto other = digestOf(request, "p");
     CHECK(one != other);
-    CHECK_TEXT(one.substr(0, 16) != other.substr(0, 16), "no body can make up for the organisation");
-    STRCMP_EQUAL_TEXT(one.substr(16).c_str(), other.substr(16).c_str(), "the rest is that of the content");
+    CHECK_TEXT(one.substr(0, 16) != other.substr(0, 16), "the organisation part must not depend on the body");
+    STRCMP_EQUAL_TEXT(one.substr(16).c_str(), other.substr(16).c_str(), "the rest must depend on the content only");
 }
