--- a/src/admission/AttemptAdmission.cpp
+++ b/src/admission/AttemptAdmission.cpp
@@ -20,7 +20,7 @@
 
 bool mayRunOnceMore(const AttemptState& state)
 {
-    return state.possibleRuns < state.mostRuns && (state.possibleRuns == 0 || state.mayRunAgain);
+    return state.possibleRuns < state.maxRuns && (state.possibleRuns == 0 || state.mayRunAgain);
 }
 
 AttemptVerdict judgeAttempt(const AttemptState& state)
@@ -59,12 +59,12 @@
 }
 
 UnplacedDecision waitOrRefuseStream(const std::optional<EndpointOpening>& opening, unsigned possibleRuns,
-    Milliseconds waitsUntil, Milliseconds lookInterval, Milliseconds now)
+    Milliseconds waitsUntil, Milliseconds pollInterval, Milliseconds now)
 {
     if (opening && possibleRuns == 0 && opening->at > waitsUntil)
         return { false, Milliseconds { 0 }, reasonOf(*opening) };
     const auto reason = possibleRuns > 0 ? RefusalReason::EndpointFailed : RefusalReason::NoEndpoint;
-    return { now < waitsUntil, lookInterval, reason };
+    return { now < waitsUntil, pollInterval, reason };
 }
 
 bool isForOpening(RefusalReason reason)
@@ -74,8 +74,8 @@
 
 Milliseconds comeBackAtOpening(const EndpointOpening& opening, double spread, Milliseconds now)
 {
-    const auto opensIn = opening.at - now;
-    return opening.isAfterRest ? comeBackAfterRest(opensIn, spread) : opensIn;
+    const auto timeUntilAvailable = opening.at - now;
+    return opening.isAfterRest ? retryDelayAfterBackOff(timeUntilAvailable, spread) : timeUntilAvailable;
 }
 
 Milliseconds comeBackAfter(const UnplacedRequest& request, Milliseconds now)
@@ -83,8 +83,8 @@
     const auto reason = request.lastReason;
     if (request.opening && isForOpening(reason))
         return comeBackAtOpening(*request.opening, request.spread, now);
-    const auto obstacle = reason == RefusalReason::NoEndpoint ? PlaceObstacle::Unreachable : PlaceObstacle::Full;
-    return comeBackIn(obstacle, request.call.deadline - now, request.spread);
+    const auto obstacle = reason == RefusalReason::NoEndpoint ? CapacityObstacle::Unreachable : CapacityObstacle::Full;
+    return callerRetryDelay(obstacle, request.call.deadline - now, request.spread);
 }
 
 } // namespace lupinknot::internal
--- a/src/admission/AttemptAdmission.h
+++ b/src/admission/AttemptAdmission.h
@@ -10,7 +10,7 @@
 //     const auto verdict = judgeAttempt(state);
 //     if (verdict != AttemptVerdict::Allowed) refuse(refusalAfter(verdict, state.possibleRuns));
 //     ...
-//     const auto wait = waitOrRefuse({ call, opening, usualCallTime, spread, mayWait, reason }, now);
+//     const auto wait = waitOrRefuse({ call, opening, usualCallTime, spread, reason }, now);
 //
 // Pure functions of their arguments; thread-safe.
 #pragma once
@@ -31,7 +31,7 @@
     Standing standing { Standing::Free };
     // Attempts that an endpoint may have run so far, and the maximum allowed.
     unsigned possibleRuns { 0 };
-    unsigned mostRuns { 1 };
+    unsigned maxRuns { 1 };
     // True if the request may run more than once.
     bool mayRunAgain { false };
 };
@@ -75,15 +75,15 @@
 
 UnplacedDecision waitOrRefuse(const UnplacedRequest&, Milliseconds now);
 
-// The same decision for a stream. A stream polls for an engine every `lookInterval` until `waitsUntil` and is refused
+// The same decision for a stream. A stream polls for an engine every `pollInterval` until `waitsUntil` and is refused
 // earlier only if it has not run and no engine becomes available by then.
 UnplacedDecision waitOrRefuseStream(const std::optional<EndpointOpening>&, unsigned possibleRuns,
-    Milliseconds waitsUntil, Milliseconds lookInterval, Milliseconds now);
+    Milliseconds waitsUntil, Milliseconds pollInterval, Milliseconds now);
 
 // True for refusals because all endpoints are in back-off or rate limited.
 bool isForOpening(RefusalReason);
 
-// Retry delay for a caller that is refused because no endpoint accepts requests before the opening. After a back-off,
+// Retry delay for a caller that is refused because no endpoint accepts requests before `opening`. After a back-off,
 // callers are spread so that they do not return together.
 Milliseconds comeBackAtOpening(const EndpointOpening&, double spread, Milliseconds now);
 
--- a/src/admission/StartupWait.cpp
+++ b/src/admission/StartupWait.cpp
@@ -8,9 +8,9 @@
 {
     if (state.hasConfiguration && state.hasEndpoints)
         return { StartupAction::Serve, now };
-    auto until = state.startedAt + longestStartup;
-    if (request.patience) {
-        const auto share = startupPatienceShare * static_cast<double>(request.patience->count());
+    auto until = state.startedAt + maxStartupTime;
+    if (request.callerTimeout) {
+        const auto share = maxStartupWaitShare * static_cast<double>(request.callerTimeout->count());
         until = std::min(until, request.arrivedAt + Milliseconds { static_cast<std::int64_t>(share) });
     }
     if (now < until)
--- a/src/admission/StartupWait.h
+++ b/src/admission/StartupWait.h
@@ -4,8 +4,8 @@
 // keeps sending requests. A VM has its configuration about 40 ms after its start, 70 ms at the 95th percentile, and 200
 // ms with 3,000 endpoints. A caller that is refused meanwhile spends its only retry on another VM that is starting too.
 //
-//     const auto decision = decideStartup({ startedAt, hasConfiguration, hasEndpoints }, { arrivedAt, patience }, now);
-//     if (decision.action == StartupAction::Wait) ...         // Until decision.until at the latest.
+//     const auto decision = decideStartup({ startedAt, hasConfiguration, hasEndpoints }, { arrivedAt, callerTimeout },
+//     now); if (decision.action == StartupAction::Wait) ...         // Until decision.until at the latest.
 //
 // Pure functions of their arguments; thread-safe.
 #pragma once
@@ -26,7 +26,7 @@
 struct StartupRequest {
     Milliseconds arrivedAt { 0 };
     // How long the caller waits for an answer; empty if unknown.
-    std::optional<Milliseconds> patience;
+    std::optional<Milliseconds> callerTimeout;
 };
 
 enum class StartupAction {
@@ -43,9 +43,9 @@
 
 // A VM without configuration or endpoints for this long probably cannot reach the store: twice the longest startup with
 // 300 VMs and 3,000 endpoints, 200 ms.
-inline constexpr Milliseconds longestStartup { 400 };
-// Maximum share of the caller's patience spent waiting, so that enough remains for a retry elsewhere.
-inline constexpr double startupPatienceShare = 0.125;
+inline constexpr Milliseconds maxStartupTime { 400 };
+// Maximum share of the caller's timeout spent waiting, so that enough remains for a retry elsewhere.
+inline constexpr double maxStartupWaitShare = 0.125;
 
 StartupDecision decideStartup(const StartupState&, const StartupRequest&, Milliseconds now);
 
--- a/src/admission/WaitForPlace.cpp
+++ b/src/admission/WaitForPlace.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Keeps the shift in range; after this many doublings every pause is the longest one.
-constexpr unsigned mostDoublings = 10;
+constexpr unsigned maxDoublings = 10;
 
 Milliseconds scaled(Milliseconds time, double factor)
 {
@@ -18,8 +18,8 @@
 
 WaitDecision waitForPlace(const WaitingCall& call, Milliseconds usualCallTime, double spread, Milliseconds now)
 {
-    const auto first = std::clamp(usualCallTime, shortestPause, longestPause);
-    const auto doubled = std::min(first * (1 << std::min(call.rounds, mostDoublings)), longestPause);
+    const auto first = std::clamp(usualCallTime, minPause, maxPause);
+    const auto doubled = std::min(first * (1 << std::min(call.rounds, maxDoublings)), maxPause);
     const auto pause = scaled(doubled, 1 - pauseSpread + 2 * pauseSpread * spread);
     const bool endsInTime = now + pause + usualCallTime <= call.deadline;
     return { pause <= timeToWait(call, now) && endsInTime, pause };
@@ -27,29 +27,29 @@
 
 Milliseconds timeToWait(const WaitingCall& call, Milliseconds now)
 {
-    const auto latest = call.arrivedAt + scaled(call.deadline - call.arrivedAt, waitingShare);
+    const auto latest = call.arrivedAt + scaled(call.deadline - call.arrivedAt, maxWaitShare);
     return std::max(latest - now, Milliseconds { 0 });
 }
 
-WaitDecision waitForOpening(
-    const WaitingCall& call, Milliseconds opensIn, Milliseconds usualCallTime, double spread, Milliseconds now)
+WaitDecision waitForOpening(const WaitingCall& call, Milliseconds timeUntilAvailable, Milliseconds usualCallTime,
+    double spread, Milliseconds now)
 {
-    const auto pause = std::max(opensIn, shortestPause) + scaled(comeBackWhenFull, spread);
+    const auto pause = std::max(timeUntilAvailable, minPause) + scaled(retryDelayWhenFull, spread);
     const bool endsInTime = now + pause + usualCallTime <= call.deadline;
     return { pause <= timeToWait(call, now) && endsInTime, pause };
 }
 
-Milliseconds comeBackAfterRest(Milliseconds restsFor, double spread)
+Milliseconds retryDelayAfterBackOff(Milliseconds backOffTime, double spread)
 {
-    return restsFor + scaled(comeBackWhenFull, spread);
+    return backOffTime + scaled(retryDelayWhenFull, spread);
 }
 
-Milliseconds comeBackIn(PlaceObstacle obstacle, Milliseconds timeLeft, double spread)
+Milliseconds callerRetryDelay(CapacityObstacle obstacle, Milliseconds timeLeft, double spread)
 {
-    const auto most = std::max(scaled(timeLeft, comeBackShare), Milliseconds { 0 });
-    if (obstacle == PlaceObstacle::Unreachable)
+    const auto most = std::max(scaled(timeLeft, maxRetryDelayShare), Milliseconds { 0 });
+    if (obstacle == CapacityObstacle::Unreachable)
         return most;
-    return std::min(scaled(comeBackWhenFull, 0.5 + spread), most);
+    return std::min(scaled(retryDelayWhenFull, 0.5 + spread), most);
 }
 
 } // namespace lupinknot::internal
--- a/src/admission/WaitForPlace.h
+++ b/src/admission/WaitForPlace.h
@@ -14,7 +14,7 @@
 //
 //     const auto decision = waitForPlace({ arrivedAt, deadline, rounds }, usualCallTime, spread, now);
 //     if (decision.waits) ...                                  // Try again after decision.pause.
-//     else refuse(comeBackIn(PlaceObstacle::Full, timeLeft, spread));
+//     else refuse(callerRetryDelay(CapacityObstacle::Full, timeLeft, spread));
 //
 // Pure functions of their arguments; thread-safe.
 #pragma once
@@ -24,7 +24,7 @@
 namespace lupinknot::internal {
 
 // Why no endpoint has accepted a call.
-enum class PlaceObstacle {
+enum class CapacityObstacle {
     Full, // Endpoints rejected it, or the retry budget is spent.
     Unreachable, // No endpoint is known or none could be connected to.
 };
@@ -43,11 +43,11 @@
 };
 
 // Maximum share of its time that a call waits, so that a refused caller has time for one more try.
-inline constexpr double waitingShare = 0.5;
+inline constexpr double maxWaitShare = 0.5;
 // Bounds of the pause before the next try. The pause starts at the usual call time, in which each busy slot is freed
 // once, and doubles. Each try costs one request to an endpoint, or 80 ms for a connection that fails.
-inline constexpr Milliseconds shortestPause { 40 };
-inline constexpr Milliseconds longestPause { 400 };
+inline constexpr Milliseconds minPause { 40 };
+inline constexpr Milliseconds maxPause { 400 };
 // Pauses vary randomly by this share in both directions, so that calls rejected together do not return together.
 inline constexpr double pauseSpread = 0.25;
 
@@ -61,19 +61,19 @@
 // or rate limited. A call that cannot wait until then is refused at once. `spread` delays calls that wait for the end
 // of the same back-off so that they do not arrive together; it is 0 for permits, which are spaced already.
 WaitDecision waitForOpening(
-    const WaitingCall&, Milliseconds opensIn, Milliseconds usualCallTime, double spread, Milliseconds now);
+    const WaitingCall&, Milliseconds timeUntilAvailable, Milliseconds usualCallTime, double spread, Milliseconds now);
 
 // Maximum share of its remaining time that a caller is told to wait; callers cut longer delays to this.
-inline constexpr double comeBackShare = 1.0 / 3;
+inline constexpr double maxRetryDelayShare = 1.0 / 3;
 // Full endpoints have free capacity again after a few calls. Callers are spread from 0.5 to 1.5 times this delay.
-inline constexpr Milliseconds comeBackWhenFull { 250 };
+inline constexpr Milliseconds retryDelayWhenFull { 250 };
 
 // Retry delay for a caller that is refused because all endpoints are in back-off: the end of the first back-off plus a
-// random share of comeBackWhenFull.
-Milliseconds comeBackAfterRest(Milliseconds restsFor, double spread);
+// random share of retryDelayWhenFull.
+Milliseconds retryDelayAfterBackOff(Milliseconds backOffTime, double spread);
 
 // Retry delay for a refused caller. Unreachable endpoints stay so for seconds, so the delay is then the longest that
 // the caller can use.
-Milliseconds comeBackIn(PlaceObstacle, Milliseconds timeLeft, double spread);
+Milliseconds callerRetryDelay(CapacityObstacle, Milliseconds timeLeft, double spread);
 
 } // namespace lupinknot::internal
--- a/src/admission/WaitingRoom.cpp
+++ b/src/admission/WaitingRoom.cpp
@@ -4,7 +4,7 @@
 
 bool WaitingRoom::enter(std::size_t bytes)
 {
-    if (m_count >= mostRequests || bytes > mostBytes - m_bytes)
+    if (m_count >= maxRequests || bytes > maxBytes - m_bytes)
         return false;
     ++m_count;
     m_bytes += bytes;
--- a/src/admission/WaitingRoom.h
+++ b/src/admission/WaitingRoom.h
@@ -15,9 +15,9 @@
 class WaitingRoom {
 public:
     // A small VM serves a few hundred requests a second, and none waits longer than two seconds on usual routes.
-    static constexpr std::size_t mostRequests = 256;
+    static constexpr std::size_t maxRequests = 256;
     // A tenth of the memory of a small VM, 160 MB.
-    static constexpr std::size_t mostBytes = 16U << 20U;
+    static constexpr std::size_t maxBytes = 16U << 20U;
 
     // Returns false if a bound would be exceeded.
     bool enter(std::size_t bytes);
--- a/test/AttemptAdmissionTest.cpp
+++ b/test/AttemptAdmissionTest.cpp
@@ -14,9 +14,9 @@
     const Milliseconds now { 100 };
 };
 
-TEST(AttemptAdmission, AllowsTheFirstAttempt) { CHECK(judgeAttempt(state) == AttemptVerdict::Allowed); }
+TEST(AttemptAdmission, AllowsFirstAttempt) { CHECK(judgeAttempt(state) == AttemptVerdict::Allowed); }
 
-TEST(AttemptAdmission, DoesNotRepeatWhatMayHaveRunAndMustNotRunTwice)
+TEST(AttemptAdmission, DoesNotRepeatNonRepeatableRequestThatMayHaveRun)
 {
     state.possibleRuns = 1;
     CHECK(judgeAttempt(state) == AttemptVerdict::RunsSpent);
@@ -26,7 +26,7 @@
     CHECK(judgeAttempt(state) == AttemptVerdict::RunsSpent);
 }
 
-TEST(AttemptAdmission, AsksTheQuarantineBeforeAnythingElse)
+TEST(AttemptAdmission, ChecksQuarantineBeforeRunLimits)
 {
     state.possibleRuns = 2;
     state.standing = Standing::Held;
@@ -36,7 +36,7 @@
 }
 
 // Callers may be told that a request has not run only if no endpoint can have run it.
-TEST(AttemptAdmission, PromisesThatARequestHasNotRunOnlyIfItHasNot)
+TEST(AttemptAdmission, ReportsNotRunOnlyWithoutPossibleRuns)
 {
     CHECK(refusalAfter(AttemptVerdict::Held, 0) == RefusalReason::HeldBack);
     CHECK(refusalAfter(AttemptVerdict::Held, 1) == RefusalReason::EndedEndpoints);
@@ -45,7 +45,7 @@
     CHECK(refusalAfter(AttemptVerdict::RunsSpent, 1) == RefusalReason::EndpointFailed);
 }
 
-TEST(AttemptAdmission, KeepsRetriesOfRejectedRequestsApartFromRescues)
+TEST(AttemptAdmission, SeparatesRetriesOfRejectedAndFailedRequests)
 {
     for (const auto reason : { RefusalReason::EndpointsBusy, RefusalReason::EndpointsLimited,
              RefusalReason::EndpointsResting, RefusalReason::RetryBudgetSpent })
@@ -54,7 +54,7 @@
         CHECK(purposeAfter(reason) == RetryPurpose::Rescue);
 }
 
-TEST(AttemptAdmission, WaitsForTheFirstEndpointToOpenWhereTheTimeAllows)
+TEST(AttemptAdmission, WaitsForFirstAvailableEndpointIfTimeAllows)
 {
     request.opening = EndpointOpening { Milliseconds { 700 }, true };
     const auto soon = waitOrRefuse(request, now);
@@ -65,17 +65,17 @@
     CHECK(!late.waits && late.reason == RefusalReason::EndpointsResting);
 }
 
-TEST(AttemptAdmission, TellsCallersTheTrueTimeSpreadBehindTheEndOfARest)
+TEST(AttemptAdmission, RetryDelayAfterBackOffIsSpreadPastItsEnd)
 {
     request.opening = EndpointOpening { Milliseconds { 3000 }, true };
     request.lastReason = RefusalReason::EndpointsResting;
     request.spread = 0;
     LONGS_EQUAL(2900, comeBackAfter(request, now).count());
     request.spread = 1;
-    LONGS_EQUAL(2900 + comeBackWhenFull.count(), comeBackAfter(request, now).count());
+    LONGS_EQUAL(2900 + retryDelayWhenFull.count(), comeBackAfter(request, now).count());
 }
 
-TEST(AttemptAdmission, RefusesAStreamAtOnceThatNoEngineCanTakeInItsTime)
+TEST(AttemptAdmission, RefusesStreamAtOnceIfNoEngineIsAvailableInTime)
 {
     const Milliseconds waitsUntil { 900 };
     const Milliseconds interval { 40 };
--- a/test/EndpointSignalsTest.cpp
+++ b/test/EndpointSignalsTest.cpp
@@ -11,9 +11,9 @@
     const Milliseconds now { 10'000 };
 };
 
-TEST(EndpointSignals, AcceptsUntilSomethingElseIsSaid) { CHECK(signals.accepts(now)); }
+TEST(EndpointSignals, AcceptsByDefault) { CHECK(signals.accepts(now)); }
 
-TEST(EndpointSignals, AcceptsAgainAtTheEndOfItsRest)
+TEST(EndpointSignals, AcceptsAgainAtEndOfBackOff)
 {
     CHECK(signals.noteRest(Milliseconds { 800 }, now));
     CHECK_FALSE(signals.accepts(now + Milliseconds { 799 }));
@@ -21,7 +21,7 @@
 }
 
 // Answers to concurrent requests may ask for back-offs of different lengths.
-TEST(EndpointSignals, KeepsTheLongestOfOverlappingRests)
+TEST(EndpointSignals, KeepsLongestOfOverlappingBackOffs)
 {
     CHECK(signals.noteRest(Milliseconds { 3000 }, now));
     CHECK_FALSE(signals.noteRest(Milliseconds { 1000 }, now + Milliseconds { 10 }));
@@ -29,20 +29,20 @@
     CHECK(signals.noteRest(Milliseconds { 3000 }, now + Milliseconds { 20 }));
 }
 
-TEST(EndpointSignals, TakesNoRestFromATimeOfZero)
+TEST(EndpointSignals, IgnoresBackOffOfZero)
 {
     CHECK_FALSE(signals.noteRest(Milliseconds { 0 }, now));
     CHECK(signals.accepts(now));
 }
 
-TEST(EndpointSignals, NeverAcceptsAgainOnceItLeaves)
+TEST(EndpointSignals, NeverAcceptsAfterShutdownNotice)
 {
     CHECK(signals.noteLeaving());
     CHECK_FALSE(signals.noteLeaving());
     CHECK_FALSE(signals.accepts(now + Milliseconds { 1'000'000 }));
 }
 
-TEST(EndpointSignals, KeepsWhatWasKnownOfTheSameStart)
+TEST(EndpointSignals, MergeKeepsEarlierSignalsOfSameIncarnation)
 {
     EndpointSignals earlier;
     earlier.noteRest(Milliseconds { 500 }, now);
--- a/test/StartupWaitTest.cpp
+++ b/test/StartupWaitTest.cpp
@@ -11,23 +11,23 @@
 
 constexpr Milliseconds start { 5000 };
 
-StartupDecision decide(std::int64_t arrivedAfter, std::int64_t nowAfter, std::optional<Milliseconds> patience = {},
+StartupDecision decide(std::int64_t arrivedAfter, std::int64_t nowAfter, std::optional<Milliseconds> callerTimeout = {},
     bool hasConfiguration = false, bool hasEndpoints = false)
 {
-    return decideStartup({ start, hasConfiguration, hasEndpoints }, { start + Milliseconds { arrivedAfter }, patience },
-        start + Milliseconds { nowAfter });
+    return decideStartup({ start, hasConfiguration, hasEndpoints },
+        { start + Milliseconds { arrivedAfter }, callerTimeout }, start + Milliseconds { nowAfter });
 }
 
 } // namespace
 
 TEST_GROUP(StartupWait) {};
 
-TEST(StartupWait, ServesAtOnceWhenEverythingIsKnown)
+TEST(StartupWait, ServesAtOnceWithConfigurationAndEndpoints)
 {
     CHECK(decide(10, 10, {}, true, true).action == StartupAction::Serve);
 }
 
-TEST(StartupWait, WaitsForTheConfigurationAndForTheEndpoints)
+TEST(StartupWait, WaitsForConfigurationAndEndpoints)
 {
     CHECK(decide(10, 10).action == StartupAction::Wait);
     CHECK_TEXT(decide(10, 10, {}, true).action == StartupAction::Wait, "a VM without endpoints cannot serve either");
@@ -35,27 +35,27 @@
         decide(10, 10, {}, false, true).action == StartupAction::Wait, "a VM without routes cannot serve either");
 }
 
-TEST(StartupWait, WaitsAnEighthOfTheCallersPatienceAtMost)
+TEST(StartupWait, WaitsAtMostAnEighthOfCallerTimeout)
 {
     const auto decision = decide(10, 10, Milliseconds { 800 });
     LONGS_EQUAL(110, (decision.until - start).count());
     CHECK(decide(10, 110, Milliseconds { 800 }).action == StartupAction::Refuse);
 }
 
-TEST(StartupWait, AVmThatHasLongBeenUpRefusesAtOnce)
+TEST(StartupWait, RefusesAtOnceAfterMaxStartupTime)
 {
-    CHECK_TEXT(decide(longestStartup.count(), longestStartup.count()).action == StartupAction::Refuse,
+    CHECK_TEXT(decide(maxStartupTime.count(), maxStartupTime.count()).action == StartupAction::Refuse,
         "configuration that is overdue is not expected soon");
 }
 
-TEST(StartupWait, ARequestWithARouteButNoEndpointGoesOnToTheRuleForPlaces)
+TEST(StartupWait, ServesRequestWithRouteButNoEndpointAfterMaxStartupTime)
 {
-    CHECK(decide(10, longestStartup.count(), {}, true).action == StartupAction::Serve);
+    CHECK(decide(10, maxStartupTime.count(), {}, true).action == StartupAction::Serve);
 }
 
 // 295 killed VMs restart and learn their configuration after a median of 40 ms, 70 ms at the 95th percentile, while 320
 // callers a second arrive. Without waiting, every caller that arrives before the configuration is refused.
-TEST(StartupWait, ReplayOfARestartOfTheFleetServesThoseWhoWereRefused)
+TEST(StartupWait, FleetRestartReplayRefusesNoCaller)
 {
     std::mt19937 random(1);
     std::lognormal_distribution<double> learnsAfter(std::log(40.0), 0.34);
--- a/test/WaitForPlaceTest.cpp
+++ b/test/WaitForPlaceTest.cpp
@@ -13,17 +13,17 @@
 
 namespace {
 
-constexpr Milliseconds usual { 60 };
+constexpr Milliseconds usualCallTime { 60 };
 
 // Results of replaying a load.
 struct Outcome {
     int served { 0 };
     int lost { 0 };
-    Milliseconds longestHeld { 0 };
+    Milliseconds longestWait { 0 };
 };
 
 // How a VM treats a call that finds no capacity.
-enum class Rule {
+enum class Policy {
     RefuseAtOnce, // Tells the caller to retry after 250 ms, whatever the cause.
     WaitForPlace,
 };
@@ -42,10 +42,10 @@
     bool operator>(const Event& other) const { return at > other.at; }
 };
 
-// Replays callers against a service; takePlace(now) returns whether a call that is sent at that time is served.
-template <typename TakePlace>
-Outcome play(Rule rule, PlaceObstacle obstacle, Milliseconds trying, const std::vector<Event>& arrivals,
-    const TakePlace& takePlace)
+// Replays callers against a service; tryServe(now) returns whether a call that is sent at that time is served.
+template <typename TryServe>
+Outcome replay(Policy policy, CapacityObstacle obstacle, Milliseconds attemptTime, const std::vector<Event>& arrivals,
+    const TryServe& tryServe)
 {
     std::mt19937 random(7);
     std::uniform_real_distribution<double> spread(0, 1);
@@ -54,21 +54,22 @@
     while (!events.empty()) {
         auto [now, caller] = events.top();
         events.pop();
-        if (takePlace(now)) {
+        if (tryServe(now)) {
             ++outcome.served;
             continue;
         }
-        now += trying;
+        now += attemptTime;
         const WaitingCall call { caller.arrivedAt, caller.deadline, caller.rounds };
-        const auto decision = waitForPlace(call, usual, spread(random), now);
-        if (rule == Rule::WaitForPlace && decision.waits) {
+        const auto decision = waitForPlace(call, usualCallTime, spread(random), now);
+        if (policy == Policy::WaitForPlace && decision.waits) {
             ++caller.rounds;
             events.push({ now + decision.pause, caller });
             continue;
         }
-        outcome.longestHeld = std::max(outcome.longestHeld, now - caller.arrivedAt);
-        const auto pause = rule == Rule::WaitForPlace ? comeBackIn(obstacle, caller.deadline - now, spread(random))
-                                                      : Milliseconds { 250 };
+        outcome.longestWait = std::max(outcome.longestWait, now - caller.arrivedAt);
+        const auto pause = policy == Policy::WaitForPlace
+            ? callerRetryDelay(obstacle, caller.deadline - now, spread(random))
+            : Milliseconds { 250 };
         if (caller.hasRetried || now + pause >= caller.deadline) {
             ++outcome.lost;
             continue;
@@ -95,91 +96,93 @@
 
 TEST_GROUP(WaitForPlace) {};
 
-TEST(WaitForPlace, WaitsLongerEachTimeAndNoLongerThanHalfOfItsTime)
+TEST(WaitForPlace, PauseDoublesAndWaitEndsAtHalfOfTheTime)
 {
     WaitingCall call { Milliseconds { 0 }, Milliseconds { 1000 }, 0 };
-    LONGS_EQUAL(60, waitForPlace(call, usual, 0.5, Milliseconds { 10 }).pause.count());
+    LONGS_EQUAL(60, waitForPlace(call, usualCallTime, 0.5, Milliseconds { 10 }).pause.count());
     call.rounds = 2;
-    LONGS_EQUAL(240, waitForPlace(call, usual, 0.5, Milliseconds { 10 }).pause.count());
+    LONGS_EQUAL(240, waitForPlace(call, usualCallTime, 0.5, Milliseconds { 10 }).pause.count());
     call.rounds = 40;
-    LONGS_EQUAL(longestPause.count(), waitForPlace(call, usual, 0.5, Milliseconds { 10 }).pause.count());
-    CHECK(waitForPlace(call, usual, 0.5, Milliseconds { 100 }).waits);
-    CHECK_FALSE_TEXT(waitForPlace(call, usual, 0.5, Milliseconds { 101 }).waits,
+    LONGS_EQUAL(maxPause.count(), waitForPlace(call, usualCallTime, 0.5, Milliseconds { 10 }).pause.count());
+    CHECK(waitForPlace(call, usualCallTime, 0.5, Milliseconds { 100 }).waits);
+    CHECK_FALSE_TEXT(waitForPlace(call, usualCallTime, 0.5, Milliseconds { 101 }).waits,
         "the other half of its time is reserved for a retry elsewhere");
 }
 
-TEST(WaitForPlace, RefusesAtOnceWhatCannotEndInTime)
+TEST(WaitForPlace, RefusesAtOnceCallThatCannotEndInTime)
 {
     const WaitingCall call { Milliseconds { 0 }, Milliseconds { 1000 }, 0 };
     CHECK_FALSE(waitForPlace(call, Milliseconds { 980 }, 0.5, Milliseconds { 0 }).waits);
 }
 
-TEST(WaitForPlace, TellsACallerToComeBackWithinTheTimeThatItCanUse)
+TEST(WaitForPlace, RetryDelayFitsTheRemainingTimeOfTheCaller)
 {
-    LONGS_EQUAL(250, comeBackIn(PlaceObstacle::Full, Milliseconds { 4000 }, 0.5).count());
-    LONGS_EQUAL(100, comeBackIn(PlaceObstacle::Full, Milliseconds { 300 }, 0.5).count());
-    LONGS_EQUAL(1000, comeBackIn(PlaceObstacle::Unreachable, Milliseconds { 3000 }, 0.5).count());
-    LONGS_EQUAL(0, comeBackIn(PlaceObstacle::Unreachable, Milliseconds { -5 }, 0.5).count());
+    LONGS_EQUAL(250, callerRetryDelay(CapacityObstacle::Full, Milliseconds { 4000 }, 0.5).count());
+    LONGS_EQUAL(100, callerRetryDelay(CapacityObstacle::Full, Milliseconds { 300 }, 0.5).count());
+    LONGS_EQUAL(1000, callerRetryDelay(CapacityObstacle::Unreachable, Milliseconds { 3000 }, 0.5).count());
+    LONGS_EQUAL(0, callerRetryDelay(CapacityObstacle::Unreachable, Milliseconds { -5 }, 0.5).count());
 }
 
 // A zone is cut off for five seconds while 300 callers arrive. The first call of a VM tries four endpoints for 80 ms
 // each, later calls one.
-TEST(WaitForPlace, ReplayOfACutServesMostWhoWereLost)
+TEST(WaitForPlace, ZoneCutReplayServesMostCallers)
 {
     constexpr Milliseconds cut { 5000 };
     const auto arrivals = arrivalsWithin(cut, 300);
     const auto isOver = [cut](Milliseconds now) { return now >= cut; };
-    const auto before = play(Rule::RefuseAtOnce, PlaceObstacle::Unreachable, Milliseconds { 320 }, arrivals, isOver);
-    const auto after = play(Rule::WaitForPlace, PlaceObstacle::Unreachable, Milliseconds { 80 }, arrivals, isOver);
+    const auto before
+        = replay(Policy::RefuseAtOnce, CapacityObstacle::Unreachable, Milliseconds { 320 }, arrivals, isOver);
+    const auto after
+        = replay(Policy::WaitForPlace, CapacityObstacle::Unreachable, Milliseconds { 80 }, arrivals, isOver);
     CHECK_TEXT(before.lost > 230, "refusing at once should lose most callers of this load");
     CHECK_TEXT(after.lost < 130, "waiting should serve three in five of the callers");
-    CHECK_TEXT(after.longestHeld <= Milliseconds { 2080 }, "no caller should wait for more than half of its time");
+    CHECK_TEXT(after.longestWait <= Milliseconds { 2080 }, "no caller should wait for more than half of its time");
 }
 
 // A service with 36 slots and 60 ms a call returns after an outage: the calls of 0.6 s arrive at once.
-TEST(WaitForPlace, ReplayOfTheReturnOfAServiceLosesNobody)
+TEST(WaitForPlace, ServiceRecoveryReplayLosesNoCaller)
 {
     auto arrivals = arrivalsWithin(Milliseconds { 2000 }, 500);
     for (int i = 0; i < 140; ++i)
         arrivals.push_back({ Milliseconds { i / 10 }, { Milliseconds { 4000 }, Milliseconds { i / 10 } } });
-    const auto run = [&arrivals](Rule rule) {
+    const auto run = [&arrivals](Policy policy) {
         std::vector<Milliseconds> freeAt(36, Milliseconds { 0 });
-        return play(rule, PlaceObstacle::Full, Milliseconds { 4 }, arrivals, [&freeAt](Milliseconds now) {
+        return replay(policy, CapacityObstacle::Full, Milliseconds { 4 }, arrivals, [&freeAt](Milliseconds now) {
             const auto place = std::min_element(freeAt.begin(), freeAt.end());
             if (*place > now)
                 return false;
-            *place = now + usual;
+            *place = now + usualCallTime;
             return true;
         });
     };
-    CHECK_TEXT(run(Rule::RefuseAtOnce).lost > 0, "refusing at once should lose some callers of this load");
-    LONGS_EQUAL(0, run(Rule::WaitForPlace).lost);
+    CHECK_TEXT(run(Policy::RefuseAtOnce).lost > 0, "refusing at once should lose some callers of this load");
+    LONGS_EQUAL(0, run(Policy::WaitForPlace).lost);
 }
 
 TEST_GROUP(WaitingRoom) {};
 
-TEST(WaitingRoom, HoldsNoMoreThanItsBounds)
+TEST(WaitingRoom, EnforcesCountAndSizeBounds)
 {
     WaitingRoom room;
-    CHECK(room.enter(WaitingRoom::mostBytes));
+    CHECK(room.enter(WaitingRoom::maxBytes));
     CHECK_FALSE_TEXT(room.enter(1), "request bodies must not use the memory that the VM needs");
-    room.leave(WaitingRoom::mostBytes);
-    for (std::size_t i = 0; i < WaitingRoom::mostRequests; ++i)
+    room.leave(WaitingRoom::maxBytes);
+    for (std::size_t i = 0; i < WaitingRoom::maxRequests; ++i)
         CHECK(room.enter(1));
     CHECK_FALSE(room.enter(1));
     room.leave(1);
     CHECK(room.enter(1));
 }
 
-TEST(WaitForPlace, ACallWaitsForAPlaceAtALimitedEndpointOnlyIfItComesInItsTime)
+TEST(WaitForPlace, WaitsForLimitedEndpointOnlyIfAvailableInTime)
 {
     const WaitingCall call { Milliseconds { 0 }, Milliseconds { 1500 }, 0 };
-    const Milliseconds usual { 50 };
-    const auto soon = waitForOpening(call, Milliseconds { 600 }, usual, 0, Milliseconds { 100 });
+    const Milliseconds usualCallTime { 50 };
+    const auto soon = waitForOpening(call, Milliseconds { 600 }, usualCallTime, 0, Milliseconds { 100 });
     CHECK(soon.waits);
     LONGS_EQUAL(600, soon.pause.count());
-    CHECK_FALSE(waitForOpening(call, Milliseconds { 700 }, usual, 0, Milliseconds { 100 }).waits);
-    LONGS_EQUAL_TEXT(shortestPause.count(),
-        waitForOpening(call, Milliseconds { 0 }, usual, 0, Milliseconds { 100 }).pause.count(),
+    CHECK_FALSE(waitForOpening(call, Milliseconds { 700 }, usualCallTime, 0, Milliseconds { 100 }).waits);
+    LONGS_EQUAL_TEXT(minPause.count(),
+        waitForOpening(call, Milliseconds { 0 }, usualCallTime, 0, Milliseconds { 100 }).pause.count(),
         "a request that missed its slot should not retry in a tight loop");
 }
