--- a/src/limits/EndpointKeepers.cpp
+++ b/src/limits/EndpointKeepers.cpp
@@ -19,7 +19,7 @@
             return candidates[other].availabilityZone == candidates[number].availabilityZone;
         });
     };
-    while (chosen.size() < std::min(keepersOfAnEndpoint, candidates.size())) {
+    while (chosen.size() < std::min(keepersPerEndpoint, candidates.size())) {
         std::optional<std::size_t> best;
         std::pair<bool, std::uint64_t> bestRank;
         for (std::size_t i = 0; i < candidates.size(); ++i) {
--- a/src/limits/EndpointKeepers.h
+++ b/src/limits/EndpointKeepers.h
@@ -14,7 +14,7 @@
 namespace lupinknot::internal {
 
 // Keepers of an endpoint, including the substitutes.
-inline constexpr std::size_t keepersOfAnEndpoint = 3;
+inline constexpr std::size_t keepersPerEndpoint = 3;
 
 struct KeeperCandidate {
     std::string name;
--- a/src/limits/HeardLimit.cpp
+++ b/src/limits/HeardLimit.cpp
@@ -4,12 +4,12 @@
 
 LimitChange HeardLimit::noteAnswer(std::optional<double> perSecond, Milliseconds sentAt, Milliseconds now)
 {
-    const bool isNews = perSecond || (m_perSecond && sentAt >= m_heardAt);
-    if (!isNews)
+    const bool isNewer = perSecond || (m_perSecond && sentAt >= m_heardAt);
+    if (!isNewer)
         return LimitChange::None;
-    const bool wasBelieved = isBelieved(now);
+    const bool wasFresh = isFresh(now);
     const auto change = set(perSecond, now);
-    return change == LimitChange::None && !wasBelieved ? LimitChange::Confirmed : change;
+    return change == LimitChange::None && !wasFresh ? LimitChange::Confirmed : change;
 }
 
 LimitChange HeardLimit::noteNews(std::optional<double> perSecond, Milliseconds heardAt)
--- a/src/limits/HeardLimit.h
+++ b/src/limits/HeardLimit.h
@@ -36,9 +36,9 @@
 class HeardLimit {
 public:
     // A limit that has not been heard for this long may have changed.
-    static constexpr Milliseconds believedFor { 1000 };
+    static constexpr Milliseconds freshFor { 1000 };
 
-    bool isBelieved(Milliseconds now) const { return now - m_heardAt < believedFor; }
+    bool isFresh(Milliseconds now) const { return now - m_heardAt < freshFor; }
     // Empty if the endpoint states no limit.
     const std::optional<double>& perSecond() const { return m_perSecond; }
     // When the limit, or that there is none, was last heard; 0 if never.
--- a/src/limits/KeeperWatch.h
+++ b/src/limits/KeeperWatch.h
@@ -21,7 +21,7 @@
 class KeeperWatch {
 public:
     // A keeper that has not answered is skipped for this long before it is asked again.
-    static constexpr Milliseconds passedOverFor { 2000 };
+    static constexpr Milliseconds skippedFor { 2000 };
     // A keeper that has not answered for this long is probably gone, and the permits that it issued have been used.
     static constexpr Milliseconds goneAfter { 4000 };
 
@@ -34,12 +34,12 @@
 
 private:
     // A VM that does not answer.
-    struct Silence {
+    struct UnansweredPeriod {
         Milliseconds since;
         Milliseconds askedLastAt;
     };
 
-    std::map<std::string, Silence> m_silent;
+    std::map<std::string, UnansweredPeriod> m_unanswered;
 };
 
 } // namespace lupinknot::internal
--- a/src/limits/LimitKeeper.h
+++ b/src/limits/LimitKeeper.h
@@ -25,8 +25,8 @@
     // The first slot of an endpoint is delayed by this share of the interval between slots, because a new keeper does
     // not know which permits were issued just before. VMs that become their own keeper all start at the same instant,
     // when they lose the common one, so each is given a different share.
-    explicit LimitKeeper(double firstPlaceAfter = 1)
-        : m_firstPlaceAfter(firstPlaceAfter)
+    explicit LimitKeeper(double firstSlotDelayShare = 1)
+        : m_firstSlotDelayShare(firstSlotDelayShare)
     {
     }
 
@@ -38,33 +38,33 @@
     static constexpr double substituteShare = 0.35;
     // Maximum number of requests waiting for slots of one endpoint, so that few permits are outstanding when a limit
     // falls.
-    static constexpr int mostWaiting = 2;
+    static constexpr int maxWaiting = 2;
 
     PermitAnswer ask(const PermitRequest&, double share, Milliseconds now);
     void tell(const std::string& endpoint, const LimitNews&, Milliseconds now);
     // The limit of the endpoint as known to this keeper.
     LimitNews news(const std::string& endpoint, Milliseconds now) const;
     // Number of endpoints with state.
-    std::size_t size() const { return m_counts.size(); }
+    std::size_t size() const { return m_states.size(); }
 
 private:
-    struct Count {
+    struct EndpointState {
         HeardLimit limit;
         PermitSchedule schedule;
-        bool hasBegun { false };
+        bool hasStarted { false };
         // Times at which VMs without a permit were told to ask again, oldest first.
         std::deque<Milliseconds> returns;
         Milliseconds usedAt { 0 };
     };
 
-    Count& countOf(const std::string& endpoint, Milliseconds now);
-    void forgetUnused(Milliseconds now);
-    // Delay after which a VM without a permit should ask again; the next slot is free after `free`.
-    static Milliseconds returnAfter(Count&, Milliseconds free, Milliseconds now);
+    EndpointState& stateOf(const std::string& endpoint, Milliseconds now);
+    void removeUnused(Milliseconds now);
+    // Delay after which a VM without a permit should ask again; the next slot is free after `timeUntilFree`.
+    static Milliseconds nextReturnDelay(EndpointState&, Milliseconds timeUntilFree, Milliseconds now);
 
-    double m_firstPlaceAfter;
+    double m_firstSlotDelayShare;
     // By endpoint incarnation.
-    std::map<std::string, Count> m_counts;
+    std::map<std::string, EndpointState> m_states;
 };
 
 } // namespace lupinknot::internal
--- a/src/limits/PermitSchedule.cpp
+++ b/src/limits/PermitSchedule.cpp
@@ -14,9 +14,9 @@
 void PermitSchedule::setRate(double perSecond, Milliseconds now)
 {
     const auto interval = millisecondsPerSecond / perSecond;
-    const auto instant = static_cast<double>(now.count());
-    if (interval < m_interval && m_nextAt > instant)
-        m_nextAt = instant + (m_nextAt - instant) * interval / m_interval;
+    const auto nowMilliseconds = static_cast<double>(now.count());
+    if (interval < m_interval && m_nextAt > nowMilliseconds)
+        m_nextAt = nowMilliseconds + (m_nextAt - nowMilliseconds) * interval / m_interval;
     m_interval = interval;
 }
 
@@ -28,7 +28,7 @@
 
 void PermitSchedule::take(Milliseconds now)
 {
-    m_nextAt = std::max(m_nextAt, static_cast<double>((now - placesKeptFor).count())) + m_interval;
+    m_nextAt = std::max(m_nextAt, static_cast<double>((now - unusedSlotLifetime).count())) + m_interval;
 }
 
 } // namespace lupinknot::internal
--- a/src/limits/PermitSchedule.h
+++ b/src/limits/PermitSchedule.h
@@ -35,10 +35,10 @@
     Milliseconds interval() const { return Milliseconds { static_cast<std::int64_t>(m_interval) }; }
 
     // Rate in requests a second for an endpoint that accepts nothing: only its answers tell when that changes.
-    static constexpr double slowestRate = 0.1;
+    static constexpr double minRate = 0.1;
     // An unused slot stays available for this long, because a VM that is told to return for it arrives a little later.
     // This adds that much of the limit to the busiest seconds.
-    static constexpr Milliseconds placesKeptFor { 400 };
+    static constexpr Milliseconds unusedSlotLifetime { 400 };
 
 private:
     double m_interval { 1000 };
--- a/test/LimitKeeperTest.cpp
+++ b/test/LimitKeeperTest.cpp
@@ -11,32 +11,32 @@
 {
     HeardLimit limit;
 
-    static void check(LimitChange wanted, LimitChange change) { CHECK(wanted == change); }
+    static void checkChange(LimitChange expected, LimitChange actual) { CHECK(expected == actual); }
 };
 
-TEST(HeardLimit, IsNamedChangedAndEndedByWhatAnswersSay)
+TEST(HeardLimit, FollowsLimitsStatedInAnswers)
 {
-    check(LimitChange::None, limit.noteAnswer(std::nullopt, Milliseconds { 1 }, Milliseconds { 2 }));
-    check(LimitChange::Named, limit.noteAnswer(1.0, Milliseconds { 3 }, Milliseconds { 4 }));
-    check(LimitChange::None, limit.noteAnswer(1.0, Milliseconds { 5 }, Milliseconds { 6 }));
-    check(LimitChange::Changed, limit.noteAnswer(0.5, Milliseconds { 5 }, Milliseconds { 7 }));
-    check(LimitChange::Ended, limit.noteAnswer(std::nullopt, Milliseconds { 8 }, Milliseconds { 9 }));
+    checkChange(LimitChange::None, limit.noteAnswer(std::nullopt, Milliseconds { 1 }, Milliseconds { 2 }));
+    checkChange(LimitChange::Named, limit.noteAnswer(1.0, Milliseconds { 3 }, Milliseconds { 4 }));
+    checkChange(LimitChange::None, limit.noteAnswer(1.0, Milliseconds { 5 }, Milliseconds { 6 }));
+    checkChange(LimitChange::Changed, limit.noteAnswer(0.5, Milliseconds { 5 }, Milliseconds { 7 }));
+    checkChange(LimitChange::Ended, limit.noteAnswer(std::nullopt, Milliseconds { 8 }, Milliseconds { 9 }));
     CHECK_FALSE(limit.perSecond().has_value());
 }
 
 // The answer may have been produced before the endpoint was overloaded.
-TEST(HeardLimit, IsNotEndedByAnAnswerToARequestThatWasSentBeforeItWasHeard)
+TEST(HeardLimit, IgnoresAnswerToRequestSentBeforeLimitWasHeard)
 {
     limit.noteAnswer(1.0, Milliseconds { 1 }, Milliseconds { 10 });
-    check(LimitChange::None, limit.noteAnswer(std::nullopt, Milliseconds { 9 }, Milliseconds { 12 }));
+    checkChange(LimitChange::None, limit.noteAnswer(std::nullopt, Milliseconds { 9 }, Milliseconds { 12 }));
     CHECK(limit.perSecond().has_value());
 }
 
-TEST(HeardLimit, TakesFromOtherVmsOnlyWhatIsNewer)
+TEST(HeardLimit, AcceptsOnlyNewerReportsFromOtherVms)
 {
     limit.noteAnswer(1.0, Milliseconds { 1 }, Milliseconds { 10 });
-    check(LimitChange::None, limit.noteNews(std::nullopt, Milliseconds { 10 }));
-    check(LimitChange::Ended, limit.noteNews(std::nullopt, Milliseconds { 11 }));
+    checkChange(LimitChange::None, limit.noteNews(std::nullopt, Milliseconds { 10 }));
+    checkChange(LimitChange::Ended, limit.noteNews(std::nullopt, Milliseconds { 11 }));
 }
 
 TEST_GROUP(LimitKeeper)
@@ -45,7 +45,7 @@
     Milliseconds now { 100000 };
 
     // Advances until the first slot is available.
-    void begin(double perSecond)
+    void skipFirstSlotDelay(double perSecond)
     {
         ask(perSecond);
         now += Milliseconds { 10000 };
@@ -57,11 +57,11 @@
     }
 
     // Asks at this interval for a minute and returns the maximum number granted within any four seconds.
-    std::size_t mostInFourSeconds(double perSecond, Milliseconds every)
+    std::size_t maxGrantedInFourSeconds(double perSecond, Milliseconds interval)
     {
         std::vector<Milliseconds> granted;
         std::size_t most = 0;
-        for (const auto end = now + Milliseconds { 60000 }; now < end; now += every) {
+        for (const auto end = now + Milliseconds { 60000 }; now < end; now += interval) {
             if (!ask(perSecond).isGranted)
                 continue;
             granted.push_back(now);
@@ -74,10 +74,10 @@
 };
 
 // A fleet that always has requests for an overloaded endpoint, with limits from 0.2 to 200 requests a second.
-TEST(LimitKeeper, GivesOutNoMoreThanTheLimitWithinFourSecondsAndNearlyAllOfIt)
+TEST(LimitKeeper, IssuesNearlyTheFullLimitAndNoMoreWithinFourSeconds)
 {
     for (const auto perSecond : { 0.2, 1.0, 2.3, 20.0, 200.0 }) {
-        const auto most = static_cast<double>(mostInFourSeconds(perSecond, Milliseconds { 1 }));
+        const auto most = static_cast<double>(maxGrantedInFourSeconds(perSecond, Milliseconds { 1 }));
         CHECK_TEXT(most <= 4.4 * perSecond + 1, std::to_string(perSecond).c_str());
         CHECK_TEXT(most >= 0.9 * 4 * perSecond, std::to_string(perSecond).c_str());
         now += Milliseconds { 10000 };
@@ -85,16 +85,16 @@
 }
 
 // A keeper that restarts does not know which permits were issued just before.
-TEST(LimitKeeper, GivesOutTheFirstPlaceWhenOneCouldHaveBeenGivenOutBefore)
+TEST(LimitKeeper, DelaysFirstSlotByOneInterval)
 {
     CHECK_FALSE(ask(1).isGranted);
     now += Milliseconds { 1100 };
     CHECK(ask(1).isGranted);
 }
 
-TEST(LimitKeeper, GivesAPlaceThatComesSoonToARequestThatCanWait)
+TEST(LimitKeeper, GrantsNextSlotToRequestThatCanWait)
 {
-    begin(1);
+    skipFirstSlotDelay(1);
     CHECK(ask(1).isGranted);
     const auto second = ask(1, Milliseconds { 2000 });
     CHECK(second.isGranted);
@@ -104,16 +104,16 @@
     CHECK(third.wait > Milliseconds { 1100 } && third.wait < Milliseconds { 2200 });
 }
 
-TEST(LimitKeeper, LetsOnlyAFewWaitSoThatALimitThatFallsFindsFewPermitsOut)
+TEST(LimitKeeper, BoundsOutstandingPermits)
 {
-    begin(20);
+    skipFirstSlotDelay(20);
     int granted = 0;
     for (int i = 0; i < 100; ++i)
         granted += ask(20, Milliseconds { 10000 }).isGranted;
-    CHECK(granted <= LimitKeeper::mostWaiting + 1 + 20 * PermitSchedule::placesKeptFor.count() / 1000);
+    CHECK(granted <= LimitKeeper::maxWaiting + 1 + 20 * PermitSchedule::unusedSlotLifetime.count() / 1000);
 }
 
-TEST(LimitKeeper, SendsThoseThatGetNoPermitBackOneAfterTheOther)
+TEST(LimitKeeper, SpacesReturnsOfVmsWithoutPermit)
 {
     ask(1);
     const auto first = ask(1).wait;
@@ -121,7 +121,7 @@
     CHECK(second - first >= Milliseconds { 40 });
 }
 
-TEST(LimitKeeper, LetsAllThroughOnceAVmHasHeardThatTheLimitHasEnded)
+TEST(LimitKeeper, GrantsAllRequestsAfterLimitHasEnded)
 {
     ask(1);
     CHECK_FALSE(ask(1).isGranted);
@@ -134,13 +134,13 @@
     CHECK_FALSE(answer.news.perSecond.has_value());
 }
 
-TEST(LimitKeeper, AsksAnEndpointThatTakesNothingNowAndThen)
+TEST(LimitKeeper, GrantsOccasionalPermitAtLimitOfZero)
 {
-    const auto most = mostInFourSeconds(0, Milliseconds { 10 });
+    const auto most = maxGrantedInFourSeconds(0, Milliseconds { 10 });
     LONGS_EQUAL(1, most);
 }
 
-TEST(LimitKeeper, ForgetsEndpointsThatNobodyAsksFor)
+TEST(LimitKeeper, RemovesStateOfUnusedEndpoints)
 {
     for (int i = 0; i < 100; ++i)
         keeper.tell("gone" + std::to_string(i), { 1.0, Milliseconds { 0 } }, now);
