--- a/src/quarantine/CrashWeight.cpp
+++ b/src/quarantine/CrashWeight.cpp
@@ -8,17 +8,17 @@
 
 // Endpoints crashed 42 to 116 ms after the beginning of the run (17 crashes); another 250 ms covers network delay and a
 // busy VM. Of an engine's other requests, which take 4 to 8 s, one in twenty has begun this recently.
-constexpr Milliseconds justBegun { 350 };
+constexpr Milliseconds maxAgeOfNewRun { 350 };
 // Shorter than an endpoint can have worked on the request: the endpoint may have crashed before, behind a proxy that
 // still accepted connections.
-constexpr Milliseconds shortestWork { 5 };
+constexpr Milliseconds minWorkTime { 5 };
 // A run lost after producing its answer for this long is one of many that the endpoint was running.
-constexpr Milliseconds longRun { 3000 };
-constexpr Milliseconds shortestProof { 1000 };
-constexpr int proofOfWork = 3;
+constexpr Milliseconds longRunTime { 3000 };
+constexpr Milliseconds minProofTime { 1000 };
+constexpr int proofFactor = 3;
 
 // Failures that look like a crash of the endpoint.
-bool looksLikeAnEnd(FailureKind kind)
+bool looksLikeCrash(FailureKind kind)
 {
     return kind == FailureKind::ConnectionLost || kind == FailureKind::EarlyEnd || kind == FailureKind::Silent;
 }
@@ -27,34 +27,34 @@
 
 double crashWeight(const UnfinishedRun& run)
 {
-    if (!looksLikeAnEnd(run.failure) || run.wasLeaving)
+    if (!looksLikeCrash(run.failure) || run.wasLeaving)
         return 0;
-    const bool isSharp = run.workedFor <= justBegun;
+    const bool hasJustBegun = run.workedFor <= maxAgeOfNewRun;
     switch (run.beginning) {
     case RunBeginning::NotYet:
         return 0;
     // Reading a prompt takes longer than this: the engine had crashed before, behind a proxy that accepted the
     // connection.
     case RunBeginning::Hidden:
-        return run.workedFor < shortestWork ? 0 : halfSuspicion;
+        return run.workedFor < minWorkTime ? 0 : halfSuspicion;
     case RunBeginning::Producing:
-        if (run.workedFor >= longRun)
+        if (run.workedFor >= longRunTime)
             return 0;
         break;
     // Without an event there is no evidence in favour of the request.
     case RunBeginning::Begun:
         break;
     case RunBeginning::Assumed:
-        if (run.workedFor < shortestWork)
+        if (run.workedFor < minWorkTime)
             return halfSuspicion;
         break;
     }
-    return isSharp ? fullSuspicion : halfSuspicion;
+    return hasJustBegun ? fullSuspicion : halfSuspicion;
 }
 
 bool provesHarmless(Milliseconds producedFor, Milliseconds longestWork)
 {
-    return producedFor >= std::max(shortestProof, proofOfWork * longestWork);
+    return producedFor >= std::max(minProofTime, proofFactor * longestWork);
 }
 
 } // namespace lupinknot::internal
--- a/src/quarantine/EndpointLosses.h
+++ b/src/quarantine/EndpointLosses.h
@@ -31,12 +31,12 @@
 
 class EndpointLosses {
 public:
-    // Records a loss. If the endpoint has shown life since its last recorded loss (`lastLife`), this is a new loss;
+    // Records a loss. If the endpoint has shown life since its last recorded loss (`lastAliveAt`), this is a new loss;
     // otherwise it is another request's view of the same one.
-    void note(EndpointLoss, Milliseconds lastLife);
+    void note(EndpointLoss, Milliseconds lastAliveAt);
     // True if the endpoint was lost before `instant` and has shown no life since, so that a request sent at `instant`
     // did not crash it.
-    bool wasLostBefore(const std::string& endpointId, Milliseconds instant, Milliseconds lastLife) const;
+    bool wasLostBefore(const std::string& endpointId, Milliseconds instant, Milliseconds lastAliveAt) const;
     // True if enough other endpoints were lost within `moment` to explain the loss.
     bool wentWithOthers(const EndpointLoss&, const OtherEndpoints&) const;
 
@@ -45,12 +45,12 @@
 
 private:
     // One lost endpoint, with all requests under which the loss was seen.
-    struct Lost {
+    struct LostEndpoint {
         EndpointLoss first;
         std::vector<std::string> digests;
     };
 
-    std::deque<Lost> m_losses;
+    std::deque<LostEndpoint> m_losses;
 };
 
 } // namespace lupinknot::internal
--- a/src/quarantine/Quarantine.cpp
+++ b/src/quarantine/Quarantine.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 // Weight of a further crash at the same address.
-constexpr double repeatShare = 0.5;
+constexpr double repeatedCrashShare = 0.5;
 
-bool wereLostTogether(const CrashRecord& a, const CrashRecord& b)
+bool areConcurrentLosses(const CrashRecord& a, const CrashRecord& b)
 {
     const auto apart = Milliseconds { std::abs(a.lostAt - b.lostAt) };
     return apart <= EndpointLosses::moment && a.sentAt < b.lostAt && b.sentAt < a.lostAt;
@@ -37,14 +37,14 @@
 bool Quarantine::add(const CrashRecord& record, Milliseconds at, bool isShared)
 {
     if (!m_suspects.count(record.digest))
-        makeRoom();
+        removeOldestIfFull();
     auto& suspect = m_suspects[record.digest];
-    if (suspect.entries.size() >= mostRecordsOfOne
+    if (suspect.entries.size() >= maxRecordsPerSuspect
         || !suspect.entries.emplace(record.endpointId, Entry { record, at, isShared }).second)
         return false;
     suspect.lastAt = std::max(suspect.lastAt, at);
     suspect.hasFailedTrial = suspect.hasFailedTrial || record.endsTrial;
-    if (scoreOf(suspect) >= heldFrom)
+    if (scoreOf(suspect) >= holdThreshold)
         hold(suspect);
     return true;
 }
@@ -71,7 +71,7 @@
     auto& trialUntil = m_suspects[digest].trialUntil;
     if (now < trialUntil)
         return false;
-    trialUntil = now + longestTrial;
+    trialUntil = now + maxTrialTime;
     return true;
 }
 
@@ -83,7 +83,7 @@
     suspect->second.entries.erase(endpointId);
     if (suspect->second.entries.empty())
         m_suspects.erase(suspect);
-    else if (scoreOf(suspect->second) < heldFrom)
+    else if (scoreOf(suspect->second) < holdThreshold)
         suspect->second.heldUntil = Milliseconds { 0 };
 }
 
@@ -91,7 +91,7 @@
 {
     std::vector<CrashRecord> unshared;
     const auto suspect = m_suspects.find(digest);
-    if (suspect == m_suspects.end() || scoreOf(suspect->second) < sharedFrom)
+    if (suspect == m_suspects.end() || scoreOf(suspect->second) < shareThreshold)
         return unshared;
     for (auto& [id, entry] : suspect->second.entries) {
         if (!std::exchange(entry.isShared, true))
@@ -106,7 +106,7 @@
     const auto suspect = m_suspects.find(digest);
     if (suspect == m_suspects.end())
         return shared;
-    if (scoreOf(suspect->second) + fullSuspicion >= heldFrom) {
+    if (scoreOf(suspect->second) + fullSuspicion >= holdThreshold) {
         for (const auto& [id, entry] : suspect->second.entries) {
             if (entry.isShared)
                 shared.push_back(id);
@@ -134,20 +134,20 @@
     std::sort(records.begin(), records.end(), [](const auto* a, const auto* b) { return a->lostAt < b->lostAt; });
     std::vector<const CrashRecord*> counted;
     // The greatest weight of each address counts in full.
-    std::map<std::string, double> greatest;
+    std::map<std::string, double> maxWeights;
     double sum = 0;
     for (const auto* record : records) {
-        const bool isTogether = std::any_of(counted.begin(), counted.end(),
-            [record](const CrashRecord* other) { return wereLostTogether(*record, *other); });
-        if (isTogether)
+        const bool isConcurrentLoss = std::any_of(counted.begin(), counted.end(),
+            [record](const CrashRecord* other) { return areConcurrentLosses(*record, *other); });
+        if (isConcurrentLoss)
             continue;
         counted.push_back(record);
-        auto& most = greatest[record->address];
-        most = std::max(most, record->weight);
-        sum += repeatShare * record->weight;
+        auto& maxWeight = maxWeights[record->address];
+        maxWeight = std::max(maxWeight, record->weight);
+        sum += repeatedCrashShare * record->weight;
     }
-    for (const auto& [address, weight] : greatest)
-        sum += (1 - repeatShare) * weight;
+    for (const auto& [address, weight] : maxWeights)
+        sum += (1 - repeatedCrashShare) * weight;
     return sum;
 }
 
@@ -161,7 +161,7 @@
 {
     const auto suspect = m_suspects.find(digest);
     const auto score = suspect == m_suspects.end() ? 0 : scoreOf(suspect->second);
-    return score + more >= heldFrom;
+    return score + more >= holdThreshold;
 }
 
 Milliseconds Quarantine::longestWork(const std::string& digest) const
@@ -175,9 +175,9 @@
     return longest;
 }
 
-void Quarantine::makeRoom()
+void Quarantine::removeOldestIfFull()
 {
-    if (m_suspects.size() < mostSuspects)
+    if (m_suspects.size() < maxSuspects)
         return;
     m_suspects.erase(std::min_element(m_suspects.begin(), m_suspects.end(),
         [](const auto& a, const auto& b) { return a.second.lastAt < b.second.lastAt; }));
--- a/src/quarantine/Quarantine.h
+++ b/src/quarantine/Quarantine.h
@@ -53,7 +53,7 @@
     // 0 for a request that has not been held.
     Milliseconds heldUntil(const std::string& digest) const;
     // Returns whether a new attempt of the request may start. After a hold, the attempt is the trial; no other attempt
-    // is admitted until it has ended or longestTrial has passed.
+    // is admitted until it has ended or maxTrialTime has passed.
     bool admit(const std::string& digest, Milliseconds now);
     // True if the request has been held and not been cleared since; its next crash is that of a trial.
     bool isOnTrial(const std::string& digest, Milliseconds now) const;
@@ -64,8 +64,8 @@
     std::size_t suspectCount() const { return m_suspects.size(); }
 
     // Sum of weights from which a request is held: one crash may be chance and two bad luck.
-    static constexpr double heldFrom = 3;
-    static constexpr double sharedFrom = 1;
+    static constexpr double holdThreshold = 3;
+    static constexpr double shareThreshold = 1;
     // How long a request is held after the last crash: at first, and after a failed trial. Engines restart within
     // seconds; a new version of their software takes longer than ten minutes.
     static constexpr Milliseconds firstHold { 10'000 };
@@ -73,12 +73,12 @@
     // Maximum extension of the first hold, which depends on the VM's name. A trial is decided within a few seconds.
     static constexpr Milliseconds holdSpread { 20'000 };
     // A trial without a result after this time counts as ended.
-    static constexpr Milliseconds longestTrial { 10'000 };
+    static constexpr Milliseconds maxTrialTime { 10'000 };
     // How long a record counts.
     static constexpr Milliseconds recordTime { 1'800'000 };
     // Maximum number of suspect requests; the one whose last crash is oldest is removed first.
-    static constexpr std::size_t mostSuspects = 2000;
-    static constexpr std::size_t mostRecordsOfOne = 16;
+    static constexpr std::size_t maxSuspects = 2000;
+    static constexpr std::size_t maxRecordsPerSuspect = 16;
 
 private:
     struct Entry {
@@ -98,7 +98,7 @@
 
     static double scoreOf(const Suspect&);
     void hold(Suspect&) const;
-    void makeRoom();
+    void removeOldestIfFull();
 
     const Milliseconds m_firstHold;
     std::unordered_map<std::string, Suspect> m_suspects;
--- a/src/quarantine/ServedRequests.h
+++ b/src/quarantine/ServedRequests.h
@@ -17,9 +17,9 @@
     bool has(const std::string& digest, Milliseconds now) const;
 
     // Longer than a request takes, shorter than the rollout of a new version of the endpoints' software.
-    static constexpr Milliseconds keptFor { 30'000 };
+    static constexpr Milliseconds entryLifetime { 30'000 };
     // A VM serves some tens of requests a second; beyond this number the oldest are removed.
-    static constexpr std::size_t mostKept = 4000;
+    static constexpr std::size_t maxEntries = 4000;
 
 private:
     struct Served {
--- a/test/CrashWeightTest.cpp
+++ b/test/CrashWeightTest.cpp
@@ -12,7 +12,7 @@
 }
 ;
 
-TEST(CrashWeight, IsFullForARunThatHadJustBegun)
+TEST(CrashWeight, IsFullForRunThatHadJustBegun)
 {
     // Engines crashed 40 to 120 ms after the beginning of the run.
     for (const auto workedFor : { 0, 40, 120 }) {
@@ -24,7 +24,7 @@
     DOUBLES_EQUAL(fullSuspicion, weight(RunBeginning::Begun, 0, FailureKind::Silent), 0);
 }
 
-TEST(CrashWeight, IsHalfForARunThatHadBegunAWhileAgoOrMayHave)
+TEST(CrashWeight, IsHalfForOlderOrUncertainRun)
 {
     DOUBLES_EQUAL(halfSuspicion, weight(RunBeginning::Producing, 1000), 0);
     DOUBLES_EQUAL(halfSuspicion, weight(RunBeginning::Assumed, 1000), 0);
@@ -34,7 +34,7 @@
         "a request that crashes engines does so soon after its beginning");
 }
 
-TEST(CrashWeight, IsNoneForARunThatHadNotBegunOrHadShownItself)
+TEST(CrashWeight, IsZeroForRunNotBegunOrLongProducing)
 {
     DOUBLES_EQUAL(0, weight(RunBeginning::NotYet, 50), 0);
     DOUBLES_EQUAL_TEXT(0, weight(RunBeginning::Hidden, 4), 0, "reading a prompt takes longer than this");
@@ -42,19 +42,19 @@
     DOUBLES_EQUAL(0, weight(RunBeginning::Producing, 3000), 0);
 }
 
-TEST(CrashWeight, IsNoneForAnEndpointThatHadSaidItLeaves)
+TEST(CrashWeight, IsZeroForEndpointThatWasShuttingDown)
 {
     DOUBLES_EQUAL(0, crashWeight({ FailureKind::EarlyEnd, RunBeginning::Begun, Milliseconds { 50 }, true }), 0);
 }
 
-TEST(CrashWeight, IsNoneForFailuresThatAnEndpointSurvives)
+TEST(CrashWeight, IsZeroForFailuresThatAnEndpointSurvives)
 {
     for (const auto failure : { FailureKind::ConnectionRefused, FailureKind::Overloaded, FailureKind::ErrorStatus,
              FailureKind::MalformedEvent, FailureKind::WrongPosition })
         DOUBLES_EQUAL(0, weight(RunBeginning::Begun, 50, failure), 0);
 }
 
-TEST(CrashWeight, ARunProvesItselfByLastingMuchLongerThanThoseThatWereLost)
+TEST(CrashWeight, RunMuchLongerThanLostRunsProvesRequestHarmless)
 {
     CHECK_FALSE(provesHarmless(Milliseconds { 999 }, Milliseconds { 60 }));
     CHECK(provesHarmless(Milliseconds { 1000 }, Milliseconds { 60 }));
--- a/test/EndpointLossesTest.cpp
+++ b/test/EndpointLossesTest.cpp
@@ -18,7 +18,7 @@
     static constexpr OtherEndpoints manyOthers { 5, 23 };
 };
 
-TEST(EndpointLosses, AZonesEndpointsThatGoTogetherExplainEachOther)
+TEST(EndpointLosses, SimultaneousLossesInZoneAreCorrelated)
 {
     losses.note(loss("a1", "a", 1000), Milliseconds { 0 });
     losses.note(loss("a2", "a", 1300), Milliseconds { 0 });
@@ -27,7 +27,7 @@
     CHECK(losses.wentWithOthers(loss("a3", "a", 1450), manyOthers));
 }
 
-TEST(EndpointLosses, OneOtherMayGoByChance)
+TEST(EndpointLosses, SingleOtherLossIsNotCorrelated)
 {
     losses.note(loss("a1", "a", 1000), Milliseconds { 0 });
     losses.note(loss("a2", "a", 1100), Milliseconds { 0 });
@@ -35,14 +35,14 @@
     CHECK_FALSE(losses.wentWithOthers(loss("a1", "a", 1000), manyOthers));
 }
 
-TEST(EndpointLosses, TheOnlyOtherOfAZoneIsAllOfIt)
+TEST(EndpointLosses, LossOfBothEndpointsOfZoneIsCorrelated)
 {
     losses.note(loss("a1", "a", 1000), Milliseconds { 0 });
     losses.note(loss("a2", "a", 1100), Milliseconds { 0 });
     CHECK(losses.wentWithOthers(loss("a1", "a", 1000), { 1, 23 }));
 }
 
-TEST(EndpointLosses, HalfOfAServiceIsMoreThanChance)
+TEST(EndpointLosses, LossOfHalfTheServiceIsCorrelated)
 {
     losses.note(loss("a1", "a", 1000), Milliseconds { 0 });
     losses.note(loss("b1", "b", 1100), Milliseconds { 0 });
@@ -51,7 +51,7 @@
     CHECK_FALSE(losses.wentWithOthers(loss("a1", "a", 1000), { 0, 5 }));
 }
 
-TEST(EndpointLosses, WhatOneRequestLosesInARowIsNoZone)
+TEST(EndpointLosses, SeriesLostUnderOneRequestIsNotCorrelated)
 {
     for (int i = 0; i < 3; ++i) {
         const auto id = "a" + std::to_string(i);
@@ -64,7 +64,7 @@
         "the other requests on these endpoints lost them in a group");
 }
 
-TEST(EndpointLosses, OthersOfAnotherMomentOrServiceExplainNothing)
+TEST(EndpointLosses, IgnoresLossesOfOtherServicesAndTimes)
 {
     losses.note(loss("a1", "a", 1000), Milliseconds { 0 });
     losses.note({ "t1", "t", "a", "d", Milliseconds { 1000 } }, Milliseconds { 0 });
@@ -74,7 +74,7 @@
     CHECK_FALSE(losses.wentWithOthers(loss("a1", "a", 1000), manyOthers));
 }
 
-TEST(EndpointLosses, WhatIsSentToAnEndpointThatWasLostBeforeHasNotEndedIt)
+TEST(EndpointLosses, RequestSentAfterLossDidNotCauseIt)
 {
     losses.note(loss("a1", "a", 1000), Milliseconds { 900 });
     CHECK(losses.wasLostBefore("a1", Milliseconds { 1001 }, Milliseconds { 900 }));
@@ -85,7 +85,7 @@
     CHECK_FALSE(losses.wasLostBefore("a2", Milliseconds { 1001 }, Milliseconds { 900 }));
 }
 
-TEST(EndpointLosses, AnEndpointThatHasLivedSinceIsLostAnew)
+TEST(EndpointLosses, EndpointSeenAliveAfterLossCanBeLostAgain)
 {
     losses.note(loss("a1", "a", 1000), Milliseconds { 900 });
     losses.note(loss("a1", "a", 1200), Milliseconds { 900 });
--- a/test/QuarantineTest.cpp
+++ b/test/QuarantineTest.cpp
@@ -25,7 +25,7 @@
     }
 };
 
-TEST(Quarantine, HoldsARequestFromTheThirdEndpointOn)
+TEST(Quarantine, HoldsRequestAfterThirdLostEndpoint)
 {
     addFull(2);
     CHECK_FALSE(quarantine.isHeld("d", start));
@@ -46,7 +46,7 @@
     CHECK(quarantine.isHeld("d", start));
 }
 
-TEST(Quarantine, CountsEachStartOfAnEndpointOnceWhoeverTellsOfIt)
+TEST(Quarantine, CountsEachEndpointIncarnationOnce)
 {
     CHECK(add("e1"));
     CHECK_FALSE(add("e1", fullSuspicion, start, true));
@@ -54,7 +54,7 @@
     CHECK_FALSE(quarantine.isHeld("d", start));
 }
 
-TEST(Quarantine, AnEndpointThatEndsAgainAndAgainCountsHalfFromItsSecondTimeOn)
+TEST(Quarantine, RepeatedCrashesAtOneAddressCountHalf)
 {
     for (int i = 0; i < 4; ++i)
         quarantine.add({ "d", "e" + std::to_string(i), "same", fullSuspicion, Milliseconds { 60 } }, start, false);
@@ -63,7 +63,7 @@
     CHECK(quarantine.isHeld("d", start));
 }
 
-TEST(Quarantine, LetsARequestInAgainAsATrialOneAtATime)
+TEST(Quarantine, AdmitsOneTrialAtATimeAfterHold)
 {
     addFull(3);
     CHECK_FALSE(quarantine.admit("d", start));
@@ -71,10 +71,10 @@
     CHECK(quarantine.admit("d", later));
     CHECK_FALSE(quarantine.admit("d", later));
     CHECK_FALSE_TEXT(quarantine.isHeld("d", later), "the trial itself may continue");
-    CHECK_TEXT(quarantine.admit("d", later + Quarantine::longestTrial), "a trial without a result counts as ended");
+    CHECK_TEXT(quarantine.admit("d", later + Quarantine::maxTrialTime), "a trial without a result counts as ended");
 }
 
-TEST(Quarantine, HoldsARequestForLongWhoseTrialHasEndedItsEndpoint)
+TEST(Quarantine, FailedTrialCausesLongHold)
 {
     addFull(3);
     const auto later = quarantine.heldUntil("d");
@@ -83,7 +83,7 @@
     CHECK(quarantine.heldUntil("d") == later + Quarantine::longHold);
 }
 
-TEST(Quarantine, ARequestThatWasServedOnTrialIsFree)
+TEST(Quarantine, SuccessfulTrialClearsRequest)
 {
     addFull(3);
     const auto later = quarantine.heldUntil("d");
@@ -94,14 +94,14 @@
 }
 
 // A VM that restarts reads all records at once.
-TEST(Quarantine, KnowsFromTheRecordsThatATrialHasFailed)
+TEST(Quarantine, LearnsOfFailedTrialFromRecords)
 {
     quarantine.add({ "d", "e9", "at e9", fullSuspicion, Milliseconds { 60 }, true }, start, true);
     addFull(3);
     CHECK(quarantine.heldUntil("d") == start + Quarantine::longHold);
 }
 
-TEST(Quarantine, VmsEndTheirHoldsOneAfterTheOther)
+TEST(Quarantine, HoldsOfDifferentVmsEndAtDifferentTimes)
 {
     Quarantine another { "edge-2" };
     addFull(3);
@@ -110,7 +110,7 @@
     CHECK(another.heldUntil("d") != quarantine.heldUntil("d"));
 }
 
-TEST(Quarantine, ForgetsOldRecords)
+TEST(Quarantine, RemovesOldRecords)
 {
     addFull(3);
     quarantine.forgetOld(start + Quarantine::recordTime - Milliseconds { 1 });
@@ -119,7 +119,7 @@
     CHECK_FALSE(quarantine.isSuspect("d"));
 }
 
-TEST(Quarantine, ARequestThatHasBeenServedIsFree)
+TEST(Quarantine, ServedRequestIsCleared)
 {
     addFull(3);
     quarantine.clear("d");
@@ -127,7 +127,7 @@
     CHECK_FALSE(quarantine.isSuspect("d"));
 }
 
-TEST(Quarantine, TellsOtherVmsOnceAndOnlyOfWhatAmountsToAFullSuspicion)
+TEST(Quarantine, SharesRecordsOnceFromFullSuspicionOn)
 {
     add("e1", halfSuspicion);
     LONGS_EQUAL_TEXT(
@@ -139,7 +139,7 @@
     LONGS_EQUAL_TEXT(0, quarantine.takeUnshared("d").size(), "a record from another VM need not be sent again");
 }
 
-TEST(Quarantine, TakesBackWhatWouldSoonHoldARequestThatHasBeenServed)
+TEST(Quarantine, WithdrawsSharedRecordsOnlyNearHoldThreshold)
 {
     addFull(1);
     quarantine.takeUnshared("d");
@@ -149,7 +149,7 @@
     LONGS_EQUAL(2, quarantine.clear("d").size());
 }
 
-TEST(Quarantine, ARecordThatAnotherVmTakesBackCountsNoMore)
+TEST(Quarantine, WithdrawnRecordNoLongerCounts)
 {
     addFull(3);
     quarantine.remove("d", "e1");
@@ -158,7 +158,7 @@
 
 // Concurrent runs of the same request by many callers: three engines crashed at one instant under three of them, the
 // request was held, and nobody was served for 20 s.
-TEST(Quarantine, RunsSideBySideThatAreLostTogetherCountAsOne)
+TEST(Quarantine, ConcurrentRunsLostTogetherCountAsOne)
 {
     for (int i = 0; i < 5; ++i) {
         const auto id = "e" + std::to_string(i);
@@ -168,7 +168,7 @@
     CHECK_FALSE(quarantine.isHeld("d", start));
 }
 
-TEST(Quarantine, RunsOneAfterTheOtherCountEachHoweverQuick)
+TEST(Quarantine, ConsecutiveRunsCountSeparately)
 {
     for (int i = 0; i < 3; ++i) {
         const auto id = "e" + std::to_string(i);
@@ -180,7 +180,7 @@
 }
 
 // A VM that restarts learns of old crashes: the hold ends when it would have ended without the restart.
-TEST(Quarantine, IsHeldFromTheLastEndOnWhateverIsHeardLater)
+TEST(Quarantine, HoldStartsAtLatestLossWhateverTheOrderOfRecords)
 {
     add("e3", fullSuspicion, start + Milliseconds { 300 }, true);
     add("e1", fullSuspicion, start, true);
@@ -190,14 +190,14 @@
     CHECK(until <= start + Milliseconds { 300 } + Quarantine::firstHold + Quarantine::holdSpread);
 }
 
-TEST(Quarantine, KeepsOnlySoManyInMind)
+TEST(Quarantine, BoundsSuspectsAndRecords)
 {
-    for (std::size_t i = 0; i < Quarantine::mostSuspects + 5; ++i)
+    for (std::size_t i = 0; i < Quarantine::maxSuspects + 5; ++i)
         quarantine.add(
             { std::to_string(i), "e", "a", fullSuspicion, Milliseconds { 60 } }, start + Milliseconds { 1 } * i, false);
-    LONGS_EQUAL(Quarantine::mostSuspects, quarantine.suspectCount());
+    LONGS_EQUAL(Quarantine::maxSuspects, quarantine.suspectCount());
     CHECK_FALSE_TEXT(quarantine.isSuspect("0"), "the suspect with the oldest last crash should be removed");
-    for (std::size_t i = 0; i < 2 * Quarantine::mostRecordsOfOne; ++i)
+    for (std::size_t i = 0; i < 2 * Quarantine::maxRecordsPerSuspect; ++i)
         add("e" + std::to_string(i));
-    LONGS_EQUAL(Quarantine::mostRecordsOfOne, quarantine.takeUnshared("d").size());
+    LONGS_EQUAL(Quarantine::maxRecordsPerSuspect, quarantine.takeUnshared("d").size());
 }
--- a/test/RequestDigestTest.cpp
+++ b/test/RequestDigestTest.cpp
@@ -15,7 +15,7 @@
     }
 };
 
-TEST(RequestDigest, IsThatOfEachAttemptOfACaller)
+TEST(RequestDigest, IsSameForEachAttemptOfACaller)
 {
     auto again = request;
     again.headers = { { "X-Request-Id", "r2" }, { "Last-Event-Id", "3" }, { "Host", "h" } };
@@ -23,7 +23,7 @@
     LONGS_EQUAL(48, digestOf(request, "o").size());
 }
 
-TEST(RequestDigest, DiffersWhereTheWorkDiffers)
+TEST(RequestDigest, DiffersIfContentDiffers)
 {
     checkDiffers({ "GET", "/plan/7", { { "Host", "h" } }, "body" }, "different method");
     checkDiffers({ "POST", "/plan/8", { { "Host", "h" } }, "body" }, "different target");
@@ -32,7 +32,7 @@
     checkDiffers({ "POST", "/plan/7b", { { "Host", "h" } }, "ody" }, "a moved boundary between target and body");
 }
 
-TEST(RequestDigest, OfTwoOrganisationsNeverMeet)
+TEST(RequestDigest, DiffersBetweenOrganisations)
 {
     const auto one = digestOf(request, "o");
     const auto other = digestOf(request, "p");
