--- a/src/admission/StartupWait.cpp
+++ b/src/admission/StartupWait.cpp
@@ -8,14 +8,14 @@
 {
     if (state.hasConfiguration && state.hasEndpoints)
         return { StartupAction::Serve, now };
-    auto until = state.startedAt + longestStartup;
-    if (request.patience) {
-        const auto share = startupPatienceShare * static_cast<double>(request.patience->count());
+    auto until = state.startedAt + maxStartupTime;
+    if (request.callerTimeout) {
+        const auto share = maxStartupWaitShare * static_cast<double>(request.callerTimeout->count());
         until = std::min(until, request.arrivedAt + Milliseconds { static_cast<std::int64_t>(share) });
     }
     if (now < until)
         return { StartupAction::Wait, until };
-    // Without endpoints the request may still wait for some, by the rule for places.
+    // Without endpoints the request may still wait for capacity (WaitForPlace).
     return { state.hasConfiguration ? StartupAction::Serve : StartupAction::Refuse, now };
 }
 
--- a/test/EndpointLossesTest.cpp
+++ b/test/EndpointLossesTest.cpp
@@ -18,7 +18,7 @@
     static constexpr OtherEndpoints manyOthers { 5, 23 };
 };
 
-TEST(EndpointLosses, AZonesEndpointsThatGoTogetherExplainEachOther)
+TEST(EndpointLosses, SimultaneousLossesInZoneAreCorrelated)
 {
     losses.note(loss("a1", "a", 1000), Milliseconds { 0 });
     losses.note(loss("a2", "a", 1300), Milliseconds { 0 });
@@ -27,7 +27,7 @@
     CHECK(losses.wentWithOthers(loss("a3", "a", 1450), manyOthers));
 }
 
-TEST(EndpointLosses, OneOtherMayGoByChance)
+TEST(EndpointLosses, SingleOtherLossIsNotCorrelated)
 {
     losses.note(loss("a1", "a", 1000), Milliseconds { 0 });
     losses.note(loss("a2", "a", 1100), Milliseconds { 0 });
@@ -35,14 +35,14 @@
     CHECK_FALSE(losses.wentWithOthers(loss("a1", "a", 1000), manyOthers));
 }
 
-TEST(EndpointLosses, TheOnlyOtherOfAZoneIsAllOfIt)
+TEST(EndpointLosses, LossOfBothEndpointsOfZoneIsCorrelated)
 {
     losses.note(loss("a1", "a", 1000), Milliseconds { 0 });
     losses.note(loss("a2", "a", 1100), Milliseconds { 0 });
     CHECK(losses.wentWithOthers(loss("a1", "a", 1000), { 1, 23 }));
 }
 
-TEST(EndpointLosses, HalfOfAServiceIsMoreThanChance)
+TEST(EndpointLosses, LossOfHalfTheServiceIsCorrelated)
 {
     losses.note(loss("a1", "a", 1000), Milliseconds { 0 });
     losses.note(loss("b1", "b", 1100), Milliseconds { 0 });
@@ -51,19 +51,20 @@
     CHECK_FALSE(losses.wentWithOthers(loss("a1", "a", 1000), { 0, 5 }));
 }
 
-TEST(EndpointLosses, WhatOneRequestLosesInARowIsNoZone)
+TEST(EndpointLosses, SeriesLostUnderOneRequestIsNotCorrelated)
 {
     for (int i = 0; i < 3; ++i) {
         const auto id = "a" + std::to_string(i);
         losses.note(loss(id, "a", 1000 + 60 * i, "d"), Milliseconds { 0 });
-        // Another one that was there, each time a different one.
+        // Another request on the same endpoint, a different one each time.
         losses.note(loss(id, "a", 1000 + 60 * i), Milliseconds { 0 });
     }
     CHECK_FALSE(losses.wentWithOthers(loss("a0", "a", 1000, "d"), manyOthers));
-    CHECK_TEXT(losses.wentWithOthers(loss("a0", "a", 1000), manyOthers), "those that were there lost it with others");
+    CHECK_TEXT(losses.wentWithOthers(loss("a0", "a", 1000), manyOthers),
+        "the other requests on these endpoints lost them in a group");
 }
 
-TEST(EndpointLosses, OthersOfAnotherMomentOrServiceExplainNothing)
+TEST(EndpointLosses, IgnoresLossesOfOtherServicesAndTimes)
 {
     losses.note(loss("a1", "a", 1000), Milliseconds { 0 });
     losses.note({ "t1", "t", "a", "d", Milliseconds { 1000 } }, Milliseconds { 0 });
@@ -73,16 +74,18 @@
     CHECK_FALSE(losses.wentWithOthers(loss("a1", "a", 1000), manyOthers));
 }
 
-TEST(EndpointLosses, WhatIsSentToAnEndpointThatWasLostBeforeHasNotEndedIt)
+TEST(EndpointLosses, RequestSentAfterLossDidNotCauseIt)
 {
     losses.note(loss("a1", "a", 1000), Milliseconds { 900 });
     CHECK(losses.wasLostBefore("a1", Milliseconds { 1001 }, Milliseconds { 900 }));
-    CHECK_FALSE_TEXT(losses.wasLostBefore("a1", Milliseconds { 950 }, Milliseconds { 900 }), "it was sent before");
-    CHECK_FALSE_TEXT(losses.wasLostBefore("a1", Milliseconds { 1500 }, Milliseconds { 1400 }), "it has lived since");
+    CHECK_FALSE_TEXT(
+        losses.wasLostBefore("a1", Milliseconds { 950 }, Milliseconds { 900 }), "the request was sent before the loss");
+    CHECK_FALSE_TEXT(losses.wasLostBefore("a1", Milliseconds { 1500 }, Milliseconds { 1400 }),
+        "the endpoint has shown life since the loss");
     CHECK_FALSE(losses.wasLostBefore("a2", Milliseconds { 1001 }, Milliseconds { 900 }));
 }
 
-TEST(EndpointLosses, AnEndpointThatHasLivedSinceIsLostAnew)
+TEST(EndpointLosses, EndpointSeenAliveAfterLossCanBeLostAgain)
 {
     losses.note(loss("a1", "a", 1000), Milliseconds { 900 });
     losses.note(loss("a1", "a", 1200), Milliseconds { 900 });
