--- a/test/FeedHarness.h
+++ b/test/FeedHarness.h
@@ -1,4 +1,5 @@
-// Feeds of the store's tables under test: what one has told, and a VM that hears the store's news from another one.
+// Test harness for StoreFeed: a feed that collects its rows, and a VM that reads the store's changes through a zone
+// reader.
 #pragma once
 
 #include "PeerFeeds.h"
@@ -14,9 +15,9 @@
 
 namespace lupinknot::platform {
 
-// What a feed has told, as a table.
+// A feed, and the rows that it has reported.
 struct Followed {
-    // Goes on from when the test advances it.
+    // Advances only when the test advances it.
     ManualClock clock;
     std::map<std::string, std::string> rows;
     int snapshots { 0 };
@@ -49,8 +50,8 @@
 
 inline constexpr Milliseconds readerWait { 50 };
 
-// A VM at which others wait for news, and one of those others, each with a store of its own: what the follower hears
-// of the reader's store can come from the reader only. Both stores begin with the same row.
+// A zone reader and one follower, each with a store of its own, so that the follower can see changes in the reader's
+// store only through the reader. Both stores start with the same row.
 struct SharedReading {
     explicit SharedReading(boost::asio::io_context& ioContext, Milliseconds readersWait = readerWait,
         Milliseconds followersWait = Milliseconds { 40 })
@@ -78,7 +79,7 @@
         return store;
     }
 
-    // The zone's first by rank is found at the address, and the second one, if it is to be found.
+    // Sets the address of the zone's first VM by rank, and that of the second one if it is to be reachable.
     void setReader(const internal::SocketAddress& address, const internal::SocketAddress& second = {})
     {
         readers.setOthers({ { "vm1", "a", address }, { "vm2", "a", second }, { "vm3", "a", {} }, { "vm4", "a", {} },
@@ -87,7 +88,8 @@
 
     bool haveBothBegun() { return follower.rows["a"] == "1" && reader.rows["a"] == "1"; }
 
-    // The two stores stand for one: what the follower's tells must be newer than what the reader has heard.
+    // The two stores stand for one store: rows of the follower's store must be newer than those that the reader has
+    // seen.
     void putNewerIntoOwnStore(const std::string& key, const std::string& value)
     {
         while (ownStore->version() < readersStore->version())
--- a/test/PlatformCallProtocolTest.cpp
+++ b/test/PlatformCallProtocolTest.cpp
@@ -35,8 +35,7 @@
     STRCMP_EQUAL("X-Deadline-Ms", protocol.decodeCaller({ { "X-Deadline-Ms", "" } }).malformedField.c_str());
 }
 
-// What a caller names goes into rows of the store and into orders to engines, as JSON: bytes that are no text would end
-// the process there.
+// A request id is written to store rows and engine requests as JSON; invalid UTF-8 in it would end the process there.
 TEST(PlatformCallProtocol, TakesNoRequestIdThatIsNotPlainText)
 {
     for (const auto& id : { std::string("a\xff"), std::string("a b"), std::string(201, 'a') })
@@ -112,7 +111,7 @@
     const auto load = protocol.decodeLoad({ 200, {},
         R"({"waiting":2,"running":3,"kv-used":41000,"kv-total":55000,"runs":[["a",5,1,5],["b",6,2,5]],"next-token":9})" });
     CHECK(load.has_value());
-    LONGS_EQUAL_TEXT(1, load->promptsBeingRead, "a run that is not listed has made no event yet");
+    LONGS_EQUAL_TEXT(1, load->promptsBeingRead, "a run that is not listed is in prefill");
     LONGS_EQUAL(2, load->promptsWaiting);
     LONGS_EQUAL(2, load->generating);
     LONGS_EQUAL(41000, load->memoryUsed);
@@ -139,7 +138,7 @@
     LONGS_EQUAL(0, load->memoryTotal);
     LONGS_EQUAL_TEXT(0,
         protocol.decodeLoad({ 200, {}, R"({"waiting":0,"running":1,"runs":[1,2,3]})" })->promptsBeingRead,
-        "more runs than are running");
+        "the list has more runs than are running");
 }
 
 TEST(PlatformCallProtocol, TellsCallersToComeBackInPartsOfASecond)
@@ -190,7 +189,7 @@
     LONGS_EQUAL(0, protocol.decodeAnswer({ 503, past, "" }).rest.time->count());
     const HttpHeaders twice { { "Retry-After", "1" }, { "retry-after", "2" } };
     LONGS_EQUAL(2000, protocol.decodeAnswer({ 503, twice, "" }).rest.time->count());
-    // Of another answer it says when the caller may come back, or where a redirection may be followed.
+    // In other responses Retry-After says when the caller may retry, or when a redirect may be followed.
     CHECK(!protocol.decodeAnswer({ 200, { { "Retry-After", "3" } }, "" }).rest.time);
 }
 
--- a/test/PlatformRowsTest.cpp
+++ b/test/PlatformRowsTest.cpp
@@ -80,7 +80,7 @@
     CHECK(!problem.empty());
 }
 
-// Entries of other writers stand in the same table; they name no endpoint to use, and the others hold.
+// Other writers add entries to the same table. They describe no usable endpoint, and the other entries must stay valid.
 TEST(PlatformRows, TakesNoEntryForAnEndpointThatCannotBeOne)
 {
     for (const auto* text :
@@ -113,11 +113,11 @@
             "i-7f", R"({"service":"llm","address":"10.1.0.9:8080","state":"ready")" + rest + "}", problem);
     };
     CHECK(entry(R"(,"born":1791000000123)")->born == 1791000000123);
-    CHECK_TEXT(entry("")->born == 0, "an endpoint need not say it");
-    CHECK_TEXT(entry(R"(,"born":-5)")->born == 0, "it is no start");
-    CHECK_TEXT(entry(R"(,"born":0)")->born == 0, "it is no start");
+    CHECK_TEXT(entry("")->born == 0, "the start time is optional");
+    CHECK_TEXT(entry(R"(,"born":-5)")->born == 0, "not a valid start time");
+    CHECK_TEXT(entry(R"(,"born":0)")->born == 0, "not a valid start time");
     STRCMP_EQUAL("i-7f@1791000000123", entry(R"(,"born":1791000000123)")->startName().c_str());
-    CHECK_TEXT(!entry(R"(,"born":"yesterday")"), "an entry with a field of another type is another writer's");
+    CHECK_TEXT(!entry(R"(,"born":"yesterday")"), "an entry with a field of the wrong type is not an endpoint's");
 }
 
 TEST(PlatformRows, SurvivesEntriesThatAreDeepOrLong)
--- a/test/PlatformSettingsTest.cpp
+++ b/test/PlatformSettingsTest.cpp
@@ -38,7 +38,7 @@
     STRCMP_EQUAL("10.200.1.7:8742", settings.store.text().c_str());
     DOUBLES_EQUAL(0.5, settings.relay.retryRatio, 1e-9);
     DOUBLES_EQUAL(70, settings.relay.retrySlack, 1e-9);
-    DOUBLES_EQUAL_TEXT(0, settings.relay.retrySlackShare, 1e-9, "nothing before the VMs that share it are counted");
+    DOUBLES_EQUAL_TEXT(0, settings.relay.retrySlackShare, 1e-9, "must be 0 until the number of VMs is known");
     DOUBLES_EQUAL(0.05, settings.relay.exposureLimit.share, 1e-9);
     DOUBLES_EQUAL(30, settings.relay.exposureLimit.slack, 1e-9);
     LONGS_EQUAL(5700, settings.relay.stopWithin.count());
@@ -47,7 +47,8 @@
     LONGS_EQUAL(600, settings.relay.leavingEndpointGrace.count());
 }
 
-// A reader's knowledge that is just young enough, the wait at it and an answer that never comes, one after the other.
+// The worst case is the sum of the maximum accepted age of a reader's data, the wait at the reader, and a response that
+// never arrives.
 TEST(PlatformSettings, NewsHeardFromAReaderLeavesTimeForTheStoreAndForALastResort)
 {
     const auto result = read("zone = \"hall-a\"\n[listen]\nfront = \"10.1.0.19:8740\"\nready = \"10.1.0.19:8749\"\n"
@@ -56,11 +57,11 @@
     STRCMP_EQUAL("", result.problem.c_str());
     const auto& sharing = result.settings.sharing;
     const auto worst = sharing.oldestNews + sharing.longestWait + sharing.answerTime;
-    CHECK_TEXT(worst <= Milliseconds { 1200 }, "news may be older than six tenths of the shorter bound, 2000 ms");
+    CHECK_TEXT(worst <= Milliseconds { 1200 }, "data may be older than six tenths of the shorter bound, 2000 ms");
     CHECK_TEXT(worst + result.settings.relay.leavingEndpointGrace < Milliseconds { 3000 },
-        "an endpoint whose entry has gone may get work beyond the 3000 ms that the deployment allows");
+        "an endpoint whose entry was removed may get requests after the 3000 ms that the deployment allows");
     CHECK_TEXT(sharing.readerPace.restAfterNews + sharing.readerPace.longestWait < sharing.oldestNews,
-        "a reader that rests after news and then waits at the store must count as young enough");
+        "the data of a reader that pauses after a change and then polls the store must be accepted");
     DOUBLES_EQUAL(10, result.settings.linkSpeed, 1e-9);
 }
 
--- a/test/PlatformStoreTest.cpp
+++ b/test/PlatformStoreTest.cpp
@@ -116,7 +116,8 @@
     CHECK(runUntil([&] { return far.rows["config"] == "2"; }));
 }
 
-// A silent store lets the endpoints' long call wait for 20 s; the configuration's feed notices earlier and says so.
+// When the store stops responding, the endpoint feed's long poll lasts up to 20 s; the configuration feed detects the
+// loss earlier and makes the endpoint feed call again.
 TEST(PlatformStore, AFeedThatIsAskedAnewCountsItsCallAsFailed)
 {
     Followed followed;
@@ -127,7 +128,7 @@
     bool hasFailed = false;
     followed.feed->onFailure([&] { hasFailed = true; });
     followed.feed->askAnew();
-    CHECK_TEXT(hasFailed, "other VMs are asked only when a call has failed");
+    CHECK_TEXT(hasFailed, "other VMs are polled only after a failed call");
     store->setFault(StoreFault::None);
     store->put("servers", "a", "1");
     CHECK(runUntil([&] { return followed.rows["a"] == "1"; }));
@@ -140,8 +141,8 @@
     shared.readersStore->put("servers", "b", "2");
     shared.readersStore->remove("servers", "a");
     CHECK_TEXT(runUntil([&] { return shared.follower.rows["b"] == "2" && !shared.follower.rows.count("a"); }),
-        "the news is in the reader's store only, so it can come from the reader alone");
-    CHECK_TEXT(shared.ownStore->callCount() <= 2, "a VM that follows a reader should not ask the store again");
+        "the change is in the reader's store only, so only the reader can provide it");
+    CHECK_TEXT(shared.ownStore->callCount() <= 2, "a VM that follows a reader should not call the store again");
 }
 
 TEST(PlatformStore, AVmAsksTheStoreItselfWhenItsReaderHasNotHeardFromIt)
@@ -155,7 +156,7 @@
     shared.reader.clock.advance(Milliseconds { 1500 });
     shared.putNewerIntoOwnStore("b", "2");
     CHECK(runUntil([&] { return shared.follower.rows["b"] == "2"; }));
-    CHECK_FALSE_TEXT(shared.readers.current().has_value(), "the reader should be passed over for a while");
+    CHECK_FALSE_TEXT(shared.readers.current().has_value(), "the reader should be skipped for a while");
 }
 
 TEST(PlatformStore, AVmGoesOnToTheNextReaderWhenTheFirstOneHasOldNews)
@@ -178,12 +179,13 @@
         secondStore->put("op", "config", "1");
     const auto calls = shared.ownStore->callCount();
     secondStore->put("servers", "b", "2");
-    CHECK_TEXT(runUntil([&] { return shared.follower.rows["b"] == "2"; }), "the next reader has the news");
-    LONGS_EQUAL_TEXT(calls, shared.ownStore->callCount(), "old news of one VM is no reason to ask the store");
+    CHECK_TEXT(runUntil([&] { return shared.follower.rows["b"] == "2"; }), "the next reader has the change");
+    LONGS_EQUAL_TEXT(
+        calls, shared.ownStore->callCount(), "old data of one reader should not cause a call to the store");
 }
 
-// Found by trouble-1 of pwani-pay-grown: the store turned away all readers of a zone and served the zone's other VMs,
-// which followed the readers in turn and applied a configuration six seconds late.
+// The store rejected all readers of a zone and served the zone's other VMs, which polled the readers in turn and
+// applied a configuration six seconds late.
 TEST(PlatformStore, AVmAsksTheStoreItselfWhenTheStoreTurnsAllReadersAway)
 {
     SharedReading shared(*ioContext);
@@ -201,7 +203,8 @@
     CHECK(runUntil([&] { return shared.follower.rows["b"] == "2"; }));
 }
 
-// A call that only confirms what is known does not wait for news, and the readers may have some before it would end.
+// A call that only confirms the known data must not wait for changes, because a reader may have some before the call
+// would end.
 TEST(PlatformStore, AVmThatTheStoreIsSilentToGoesOnToItsReadersSoon)
 {
     SharedReading shared(*ioContext, readerWait, Milliseconds { 60000 });
@@ -223,7 +226,7 @@
     CHECK(runUntil([&] { return shared.follower.rows["b"] == "2"; }));
 }
 
-// A store that answers nobody is asked once by each VM, and again only after a pause that grows.
+// Each VM calls a store that responds to nobody once, and again only after a growing pause.
 TEST(PlatformStore, AVmAsksASilentStoreRarelyBesideItsReaders)
 {
     SharedReading shared(*ioContext);
@@ -244,7 +247,7 @@
     CHECK(runUntil([&] { return failures > 0; }));
     const auto heard = shared.readersStore->callCount() + 3;
     CHECK(runUntil([&] { return shared.readersStore->callCount() > heard; }));
-    LONGS_EQUAL_TEXT(calls + 1, shared.ownStore->callCount(), "the clock stands still, so no second call is due");
+    LONGS_EQUAL_TEXT(calls + 1, shared.ownStore->callCount(), "the clock does not advance, so no second call is due");
 }
 
 TEST(PlatformStore, ARowIsTakenFromAReaderWhateverItsAge)
@@ -256,10 +259,11 @@
     shared.readersStore->setFault(StoreFault::Unavailable);
     shared.reader.clock.advance(Milliseconds { 1500 });
     shared.ownStore->setFault(StoreFault::Unavailable);
-    CHECK_TEXT(runUntil([&] { return shared.follower.rows["b"] == "2"; }), "its version says that it is news");
+    CHECK_TEXT(
+        runUntil([&] { return shared.follower.rows["b"] == "2"; }), "the row's version is newer than the known one");
 }
 
-// The reader was a follower itself, or waits at the store for longer than its knowledge may be old.
+// The reader was a follower itself until now, or its long poll lasts longer than its data may be old.
 TEST(PlatformStore, AVmThatOthersBeginToAskConfirmsWhatItKnows)
 {
     SharedReading shared(*ioContext, Milliseconds { 60000 });
@@ -273,11 +277,11 @@
     CHECK_TEXT(shared.readers.current().has_value(), "the reader should not count as failed");
 }
 
-// Found by reading: a VM that has been cut off asks one that has started since. The removal of a row that the first one
-// knows happened before the second one's first reading, so no change tells of it.
+// A VM that has been cut off polls one that started later. A row that the first VM knows was removed before the second
+// one's first read, so the second one has no change that reports the removal.
 TEST(PlatformStore, AVmThatStartedAfterARemovalTellsTheWholeTable)
 {
-    // The two stores stand for one; the first is as the VM that is cut off has seen it last.
+    // The two stores stand for one store; `earlier` is in the state that the cut-off VM saw last.
     StoreStandIn earlier(*ioContext);
     earlier.start();
     for (auto* const at : { &earlier, store.get() }) {
@@ -293,7 +297,7 @@
     started.follow(*ioContext, store->port(), "servers");
     CHECK(runUntil([&] { return started.snapshots == 1; }));
     cutOff.feed->takeFromPeer(started.feed->encodeChanges(*cutOff.feed->position()));
-    CHECK_TEXT(cutOff.rows.count("a") == 0, "the row that is gone should be gone here too");
+    CHECK_TEXT(cutOff.rows.count("a") == 0, "the removed row should be removed here too");
     LONGS_EQUAL(1, cutOff.rows.count("b"));
 }
 
@@ -301,7 +305,7 @@
 {
     SharedReading shared(*ioContext);
     CHECK(runUntil([&] { return shared.haveBothBegun(); }));
-    // Nobody listens at this address any more: a port of a listener that has been closed.
+    // The port of a closed listener.
     const SocketAddress closed { "127.0.0.1", SharedReading::begun(*ioContext)->port() };
     shared.setReader(closed);
     shared.putNewerIntoOwnStore("b", "2");
@@ -331,21 +335,20 @@
     std::size_t told = 0;
     auto first = start(self, told);
     CHECK(runUntil([&] { return store->value("vms", "vm1").has_value(); }));
-    LONGS_EQUAL_TEXT(2, store->callCount(), "a VM that is not in the table enters itself");
+    LONGS_EQUAL_TEXT(2, store->callCount(), "a VM that is not in the table should read it and add itself");
     first.reset();
     const auto calls = store->callCount();
     const auto again = start(self, told = 0);
     CHECK(runUntil([&] { return told == 1; }));
     LONGS_EQUAL(calls + 1, store->callCount());
-    // It comes back at another address.
+    // The VM restarts with another address.
     const auto moved = start({ "vm1", "a", { "10.0.0.9", 7200 }, 100 }, told = 0);
     CHECK(runUntil([&] { return store->value("vms", "vm1")->find("10.0.0.9") != std::string::npos; }));
 }
 
-// Thirty VMs that were new to the table started at the same moment. Each read the table before any of them was in it,
-// and took itself for the only one until it read it again 30 s later; an endpoint that takes 2.3 requests a second from
-// all VMs got 34 in four seconds (18 are allowed), because each VM counted for it alone. What settled it:
-//     vm0 vms.read others=0 ... 30 s later: vms.read others=29
+// Thirty VMs that were new to the table started at the same moment. Each read the table before any of them was in it
+// and assumed that it was alone until its next read 30 s later. An endpoint that accepts 2.3 requests per second from
+// all VMs got 34 in four seconds (18 are allowed), because each VM used the whole limit.
 TEST(PlatformStore, NewcomersThatStartTogetherKnowEachOtherSoon)
 {
     const SocketAddress address { "127.0.0.1", store->port() };
@@ -379,7 +382,7 @@
         shared.readersStore->put("op", "config", "1");
     shared.readersStore->put("servers", "b", "2");
     CHECK(runUntil([&] { return starting.rows["b"] == "2"; }));
-    LONGS_EQUAL_TEXT(1, store->callCount(), "it went on at the reader");
+    LONGS_EQUAL_TEXT(1, store->callCount(), "after its first read the feed should poll the reader");
 }
 
 TEST(PlatformStore, AVmOfALargeZoneHearsOfOthersFromTheReader)
@@ -393,8 +396,8 @@
         [&count](const std::vector<VmEntry>& others) { count = others.size() + 1; });
     vms.shareThrough(shared.readers);
     CHECK(runUntil([&] { return count > 0; }));
-    LONGS_EQUAL_TEXT(2, count, "the reader's table names vm1 only");
-    LONGS_EQUAL_TEXT(1, store->callCount(), "the VM enters itself, and does not read the table at the store");
+    LONGS_EQUAL_TEXT(2, count, "the reader's table contains vm1 only");
+    LONGS_EQUAL_TEXT(1, store->callCount(), "the VM should add itself without reading the table from the store");
 }
 
 TEST(PlatformStore, ALocationIsFoundByAnotherVmUntilTheRunHasEnded)
--- a/test/RowTableTest.cpp
+++ b/test/RowTableTest.cpp
@@ -37,7 +37,7 @@
     LONGS_EQUAL(2, rows.size());
     CHECK(rows[0].isRemoved);
     STRCMP_EQUAL("3", rows[1].value.c_str());
-    LONGS_EQUAL_TEXT(2, decoded(0).size(), "one that knows nothing gets the rows that exist");
+    LONGS_EQUAL_TEXT(2, decoded(0).size(), "a VM that knows nothing should get the existing rows only");
 }
 
 TEST(RowTable, TakesRowsThatAWholeTableLacksForGone)
--- a/test/StoreCrashReportsTest.cpp
+++ b/test/StoreCrashReportsTest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// A VM as far as it hears of crashed endpoints.
+// The parts of a VM that share crash records.
 struct Vm {
     Vm(boost::asio::io_context& ioContext, const SocketAddress& store, const std::string& name,
         Milliseconds longestWait = Milliseconds { 1000 })
@@ -96,7 +96,7 @@
     CHECK(runUntil([&] { return isHeldAt(*one) && isHeldAt(*other); }));
 }
 
-// All VMs were ended at once and started again, and the same request came to them.
+// All VMs are killed at once and restarted, and the same request reaches them again.
 TEST(StoreCrashReports, AVmThatStartsAgainKnowsWhatWasFoundBefore)
 {
     publish(*one, 1, 3);
@@ -116,7 +116,8 @@
     CHECK_FALSE(isHeldAt(*other));
 }
 
-// The store came back from a copy without the records: every VM took them for withdrawn, and the request went on.
+// A restore of the store from a copy without the records made every VM treat them as withdrawn, and the request was
+// sent on.
 TEST(StoreCrashReports, WhatTheStoreHasLostIsWrittenAgainAndHoldsTheRequest)
 {
     store->keepCopy();
@@ -128,10 +129,11 @@
     CHECK(isHeldAt(*one) && isHeldAt(*other));
     CHECK_TEXT(
         runUntil([&] { return store->value("crashes", digest + "/e1") && store->value("crashes", digest + "/e3"); }),
-        "each VM writes again what it had written, for VMs that start later");
+        "each VM should rewrite its own records for VMs that start later");
 }
 
-// The copy holds records that were taken back since: the request that was served would be held again.
+// The store's copy holds records that were withdrawn later: a request that was served harmlessly would be quarantined
+// again.
 TEST(StoreCrashReports, WhatWasTakenBackStaysSoWhenTheStoreHasItAgain)
 {
     publish(*one, 1, 3);
@@ -143,7 +145,8 @@
     CHECK(store->value("crashes", digest + "/e1").has_value());
     CHECK(runUntil([&] { return one->feed->position()->era == 1 && other->feed->position()->era == 1; }));
     CHECK_FALSE(isHeldAt(*one) || isHeldAt(*other));
-    CHECK_TEXT(runUntil([&] { return !store->value("crashes", digest + "/e1"); }), "it is taken back there, too");
+    CHECK_TEXT(runUntil([&] { return !store->value("crashes", digest + "/e1"); }),
+        "the record should be removed from the store too");
 }
 
 TEST(StoreCrashReports, WritesAgainWhatAStoreThatWasAwayHasNotTaken)
@@ -156,8 +159,8 @@
     CHECK(runUntil([&] { return isHeldAt(*other); }));
 }
 
-// Found by the soak, seed 205: the store fell silent for a moment and swallowed the long wait for news; VMs that were
-// in touch again sent a request on to five more endpoints in the seconds until that wait was over.
+// The store stopped responding for a moment and dropped the feed's long poll. VMs that had reached the store again sent
+// a request to five more endpoints in the seconds until that poll timed out.
 TEST(StoreCrashReports, HearsSoonAgainFromAStoreThatHasSwallowedItsLongWait)
 {
     Vm patient(ioContext, SocketAddress { "127.0.0.1", store->port() }, "vm3", Milliseconds { 60'000 });
@@ -210,7 +213,7 @@
     CHECK(runUntil([&] { return one->guard.isSuspect(digest) || other->guard.isSuspect(digest); }));
     CHECK(runUntil([&] { return store->value("crashes", digest + "/e1").has_value(); }));
     other->reports.sweep();
-    CHECK_TEXT(store->value("crashes", digest + "/e1"), "it is still young");
+    CHECK_TEXT(store->value("crashes", digest + "/e1"), "the record has not expired");
     CHECK(runUntil([&] { return other->guard.isSuspect(digest); }));
     other->clock.advance(2 * Quarantine::recordTime);
     other->reports.sweep();
--- a/test/StoreHistoryTest.cpp
+++ b/test/StoreHistoryTest.cpp
@@ -10,14 +10,11 @@
 using namespace lupinknot::internal;
 using namespace lupinknot::platform;
 
-// The platform's store was away for 2.5 s and came back from an older copy. Its versions went back and were given out
-// again, and each VM dropped what had a smaller version than the row that it knew: a revoked key stayed in force, and
-// endpoints that had said that they leave got requests, until the store's counter had passed the old versions. Logs of
-// all VMs showed it: store.history-gone and a table read whole at 18.5 s, then
-//     21.81 endpoints.applied list_version 48
-//     26.02 config.applied config_version 36, previous_version 21
-// although configurations 24, 27, 31 and 33 had been acknowledged between 21.8 and 24.5 s. The row of configuration 21
-// had a version that the store reached again only after 24.5 s.
+// After 2.5 s without a connection the platform's store was restored from an older copy. It reused versions, and each
+// VM dropped rows whose version was lower than that of the row it knew. Until the store's version had passed the old
+// ones, a revoked key stayed in force and endpoints that were shutting down got requests. Configurations 24, 27, 31 and
+// 33, acknowledged between 21.8 and 24.5 s, were skipped: configuration 36 replaced 21 at 26.02 s, because the row of
+// configuration 21 had a version that the store reached again only after 24.5 s.
 TEST_GROUP(StoreHistory)
 {
     std::unique_ptr<boost::asio::io_context> ioContext;
@@ -44,7 +41,7 @@
     for (const auto* const table : { "op", "servers" }) {
         store->put(table, "a", "1");
         store->keepCopy();
-        // The system's own rows raise the counter, too.
+        // Rows that other parts of the system write raise the store's version too.
         for (int i = 0; i < 20; ++i)
             store->put("runs", "r" + std::to_string(i), "");
         store->put(table, "a", "2");
@@ -52,13 +49,15 @@
         followed.follow(*ioContext, store->port(), table);
         CHECK(runUntil([&] { return followed.rows["a"] == "2"; }));
         store->restoreCopy();
-        CHECK_TEXT(runUntil([&] { return followed.snapshots == 2; }), "410 should have the table read whole");
+        CHECK_TEXT(
+            runUntil([&] { return followed.snapshots == 2; }), "status 410 should cause a complete read of the table");
         store->put(table, "a", "3");
         CHECK_TEXT(runUntil([&] { return followed.rows["a"] == "3"; }), "the newest row should be in force");
     }
 }
 
-// No 410 tells of it: by the time of the next question the store has given out more versions than were known before.
+// The store does not respond with 410, because it has issued more versions by the next call than the feed knew before
+// the restore.
 TEST(StoreHistory, AFeedReadsTheTableAnewWhenTheStoreHasOvertakenItSinceItWentBack)
 {
     store->put("servers", "a", "1");
@@ -71,11 +70,10 @@
     store->put("servers", "c", "1");
     for (int i = 0; i < 20; ++i)
         store->put("runs", "r" + std::to_string(i), "");
-    CHECK_TEXT(
-        runUntil([&] { return followed.rows.count("c") == 1; }), "c was written under a version given out again");
+    CHECK_TEXT(runUntil([&] { return followed.rows.count("c") == 1; }), "the version of row c is a reused one");
 }
 
-// Each call to the store has a price, and all VMs hear of a return at once.
+// Calls to the store are billed, and all VMs learn of a restore at once.
 TEST(StoreHistory, AFeedThatHearsOfAReturnItselfReadsTheTableOnce)
 {
     store->put("servers", "a", "1");
@@ -86,7 +84,8 @@
     CHECK(runUntil([&] { return store->callCount() == 2; }));
     store->restoreCopy();
     CHECK(runUntil([&] { return followed.snapshots == 2; }));
-    LONGS_EQUAL_TEXT(4, store->callCount(), "the one that was cut off, the next one, which gets 410, and the table");
+    LONGS_EQUAL_TEXT(
+        4, store->callCount(), "the first read and the poll, then the poll that gets 410 and the second read");
 }
 
 TEST(StoreHistory, AVmThatKnowsNothingNamesNoEra)
@@ -125,10 +124,10 @@
     shared.readersStore->restoreCopy();
     shared.readersStore->put("servers", "a", "3");
     CHECK_TEXT(runUntil([&] { return shared.follower.rows["a"] == "3"; }), "the newest row should be in force");
-    LONGS_EQUAL_TEXT(calls, shared.ownStore->callCount(), "its reader tells it");
+    LONGS_EQUAL_TEXT(calls, shared.ownStore->callCount(), "the reader should provide the row");
 }
 
-// Between its pages the store goes back: what the first page holds is of another history than the rest.
+// The store is restored between two pages, so the first page is of another history than the rest.
 TEST(StoreHistory, ATableThatIsReadInPagesIsOfOneHistory)
 {
     store->keepCopy();
@@ -143,7 +142,7 @@
     CHECK(runUntil([&] { return followed.rows.size() == 110; }));
 }
 
-// The copy is some seconds old: it lists as ready who has said since that it leaves.
+// The copy is some seconds old: it lists an endpoint as ready that has announced its shutdown since.
 TEST(StoreHistory, AnEndpointThatHasSaidThatItLeavesGetsNoWorkThoughAnOlderListNamesItReady)
 {
     const RelaySettings settings;
@@ -195,12 +194,13 @@
     CHECK(runUntil([&] { return followed.snapshots == 1; }));
     store->restoreCopy();
     CHECK(runUntil([&] { return store->value("runs", "beef").has_value(); }));
-    CHECK_FALSE_TEXT(store->value("runs", "dead").has_value(), "its stream has ended");
+    CHECK_FALSE_TEXT(
+        store->value("runs", "dead").has_value(), "the location of a finished stream should not be written");
 }
 
 namespace {
 
-// Endpoints on both sides of a return of the list's source from an older copy.
+// An endpoint directory before and after a restore of the store from an older copy.
 struct RestoredList {
     explicit RestoredList(boost::asio::io_context& ioContext)
         : directory(ioContext, settings)
@@ -246,16 +246,16 @@
     CHECK(list.isListed(2));
     list.directory.upsert(RestoredList::entry(2), list.now);
     list.pass(list.settings.missingEndpointsStay);
-    CHECK_TEXT(list.isListed(2), "it has written its entry again");
+    CHECK_TEXT(list.isListed(2), "e2 has written its entry again");
 
     list.restore({ RestoredList::entry(1) });
     list.pass(list.settings.missingEndpointsStay - Milliseconds { 1 });
     CHECK(list.isListed(2));
     list.pass(Milliseconds { 1 });
-    CHECK_FALSE_TEXT(list.isListed(2), "it may have left");
+    CHECK_FALSE_TEXT(list.isListed(2), "e2 has had time to write its entry again and did not");
 }
 
-// The store was away again before the endpoint's next write: the endpoint was taken for gone although it lived.
+// The store was unreachable again before the endpoint's next write, and the live endpoint was treated as gone.
 TEST(StoreHistory, AnEndpointThatTheListLacksStaysWhileTheStoreIsAwayAgain)
 {
     RestoredList list(*ioContext);
@@ -273,15 +273,15 @@
     CHECK_FALSE(list.isListed(2));
     list.directory.change({ { { .id = "e2" }, true } }, list.now);
     list.pass(list.settings.goneEndpointsStay);
-    CHECK_FALSE_TEXT(list.isListed(2), "its entry has lapsed");
+    CHECK_FALSE_TEXT(list.isListed(2), "the entry of e2 has expired");
 
     list.restore({ RestoredList::entry(1), RestoredList::entry(2) });
     list.pass(list.settings.goneEndpointsStay);
-    CHECK_TEXT(list.isListed(2), "its entry is still there: it lives");
+    CHECK_TEXT(list.isListed(2), "the entry of e2 has not expired, so e2 is alive");
 }
 
-// Found by the interleavings: the removal was heard first, the older list told that the endpoint had said that it
-// leaves, and it stayed a last resort.
+// The endpoint's removal was seen first. An older list then said that the endpoint was shutting down, which made it a
+// last resort for requests.
 TEST(StoreHistory, AnEndpointThatHasGoneIsNoLastResortOnceAnOlderListTellsThatItLeft)
 {
     RestoredList list(*ioContext);
--- a/test/StoreInterleavingTest.cpp
+++ b/test/StoreInterleavingTest.cpp
@@ -13,19 +13,19 @@
 using namespace lupinknot::internal;
 using namespace lupinknot::platform;
 
-// A VM takes what it is told of the platform's store from the store and from other VMs, late and out of order, while
-// the store comes back from older copies, gives versions out again and gets its rows written anew by their writers.
-// Here a store, its writers and some VMs are played step by step, without sockets, and checked against what the writers
-// know: no VM falls back to an older configuration, no VM gives work to an endpoint of which it has heard that it
-// leaves, no VM loses an endpoint that lives and has had time to write its entry again, and once the writers have
-// written again and each VM has been answered, each knows the newest configuration and exactly the endpoints that live.
+// A VM receives the rows of the platform's store from the store and from other VMs, late and out of order, while the
+// store is restored from older copies, reuses versions, and has its rows rewritten by their writers. The test simulates
+// a store, its writers and some VMs step by step, without sockets, and checks them against what the writers know: no VM
+// returns to an older configuration; no VM sends requests to an endpoint that it knows to be shutting down; no VM loses
+// a live endpoint that has had time to rewrite its entry; and after the writers have written again and each VM has had
+// a response, each VM knows the newest configuration and exactly the live endpoints.
 namespace {
 
 constexpr Milliseconds heartbeat { 1200 };
 constexpr Milliseconds tick { 50 };
 constexpr std::size_t pageSize = 3;
 
-// Rows of both tables with the versions that the store gave them.
+// The rows of both tables, with the store's versions.
 struct StoreTables {
     std::map<std::string, std::map<std::string, StoreRow>> tables;
     std::uint64_t version { 0 };
@@ -37,7 +37,7 @@
     Milliseconds nextWrite { 0 };
 };
 
-// An answer under way to a VM.
+// A response on its way to a VM.
 struct Delivery {
     Milliseconds at;
     std::function<void()> deliver;
@@ -61,14 +61,14 @@
     TableHistory endpoints { "servers" };
     std::unique_ptr<EndpointDirectory> directory;
     std::uint64_t configuration { 0 };
-    // Starts of which this VM has heard that they leave.
+    // Incarnations that this VM knows to be shutting down.
     std::set<std::string> heardLeaving;
-    // Starts of which this VM has heard that their entries have gone.
+    // Incarnations whose entries this VM knows to be removed.
     std::set<std::string> heardGone;
-    // By table: questions to the store and to other VMs go side by side.
+    // Indexed by table: requests to the store and to other VMs overlap.
     bool isAskingStore[2] { false, false };
     bool isAskingVm[2] { false, false };
-    // This VM cannot reach the store until then.
+    // Until then this VM cannot reach the store.
     Milliseconds cutUntil { 0 };
 };
 
@@ -91,28 +91,29 @@
             step(withTrouble);
     }
 
-    // What is wrong now, or nothing.
+    // The violation so far, or an empty text.
     std::string problem() const { return m_problem; }
 
-    // What is wrong once the writers have written again and all answers have come.
+    // The violation that remains after the writers have written again and all responses have arrived, or an empty text.
     std::string problemAtRest()
     {
         for (std::size_t i = 0; i < m_vms.size(); ++i) {
             auto& vm = m_vms[i];
             const auto name = "VM " + std::to_string(i) + ": ";
             if (vm.configuration != m_configuration)
-                return name + "configuration " + std::to_string(vm.configuration) + " in place of "
+                return name + "configuration " + std::to_string(vm.configuration) + " instead of "
                     + std::to_string(m_configuration);
             for (const auto& endpoint : m_endpoints) {
                 const auto known = vm.directory->find(endpoint.entry.id);
                 const bool isListed = known && !known->isRemoved();
                 const bool takesWork = known && known->mayTakeWork(m_now, m_settings.leavingEndpointGrace);
                 if (isListed != endpoint.isAlive)
-                    return name + endpoint.entry.id + (isListed ? " is listed and has ended" : " lives, not listed");
+                    return name + endpoint.entry.id
+                        + (isListed ? " is listed after its end" : " is alive but not listed");
                 if (takesWork && endpoint.entry.isDraining)
-                    return name + endpoint.entry.id + " gets work although it leaves";
+                    return name + endpoint.entry.id + " gets requests while shutting down";
                 if (endpoint.isAlive && !endpoint.entry.isDraining && !takesWork)
-                    return name + endpoint.entry.id + " gets no work";
+                    return name + endpoint.entry.id + " gets no requests";
             }
         }
         return "";
@@ -144,7 +145,7 @@
         writeEndpoint(m_endpoints.back());
     }
 
-    // An entry changes when more than its count does; it is there again once the store has lost it.
+    // Writes the entry only when its state has changed or the store has lost it.
     void writeEndpoint(SimulatedEndpoint& endpoint)
     {
         endpoint.nextWrite = m_now + heartbeat;
@@ -195,7 +196,7 @@
                 writeEndpoint(endpoint);
         }
         lapseEntries();
-        // Rows of the system's own raise the counter.
+        // Rows that other parts of the system write raise the store's version.
         if (happens(0.5))
             ++m_store.version;
         if (!withTrouble)
@@ -251,7 +252,7 @@
     {
         for (const int table : { 0, 1 }) {
             auto& vm = m_vms[index];
-            // The last one hears all but its first news from the others.
+            // After its first read, the last VM gets all data from the other VMs.
             const bool isFollower = index + 1 == m_vms.size() && historyOf(vm, table).position();
             if (!vm.isAskingVm[table] && (isFollower || happens(0.1)))
                 askVm(index, table);
@@ -262,7 +263,7 @@
 
     TableHistory& historyOf(SimulatedVm& vm, int table) { return table == 0 ? vm.configurations : vm.endpoints; }
 
-    // The flag says that the question is under way.
+    // Delivers the response after a random delay; the flag is set while the request is in flight.
     void later(bool& isAsking, std::function<void()> handle)
     {
         isAsking = true;
@@ -272,7 +273,7 @@
                                 } });
     }
 
-    // The store answers at once; its answer travels for a while.
+    // The store processes the request at once; the response arrives later.
     void askStore(std::size_t index, int table)
     {
         auto& vm = m_vms[index];
@@ -385,7 +386,7 @@
             for (const auto& id : vm.heardLeaving) {
                 const auto known = vm.directory->find(id);
                 if (known && known->mayTakeWork(m_now, m_settings.leavingEndpointGrace))
-                    m_problem = id + " gets work after it was heard that it leaves";
+                    m_problem = id + " gets requests after its shutdown was announced";
             }
             checkGoneStayAway(vm);
             checkLivingStay(vm);
@@ -397,11 +398,11 @@
         for (const auto& id : vm.heardGone) {
             const auto known = vm.directory->find(id);
             if (known && !known->isRemoved())
-                m_problem = id + " is listed again after it was heard that it has gone";
+                m_problem = id + " is listed again after its removal";
         }
     }
 
-    // An endpoint that this VM had listed and that has not left stays listed.
+    // A live endpoint that this VM has listed must stay listed.
     void checkLivingStay(SimulatedVm& vm)
     {
         for (const auto& endpoint : m_endpoints) {
@@ -409,7 +410,7 @@
             const bool isListed = known && !known->isRemoved();
             auto& wasListed = m_wasListed[{ &vm, endpoint.entry.id }];
             if (wasListed && !isListed && endpoint.isAlive)
-                m_problem = endpoint.entry.id + " lives and was taken off the list";
+                m_problem = endpoint.entry.id + " is alive but was removed from the list";
             wasListed = isListed;
         }
     }
@@ -441,7 +442,7 @@
     world.run(Milliseconds { 12000 }, true);
     if (!world.problem().empty())
         return world.problem();
-    // A return from a copy, three heartbeats until an entry lapses, and time for the answers.
+    // Time for the writes after a restore, three heartbeats until an entry expires, and the responses.
     world.run(Milliseconds { 9000 }, false);
     return world.problem().empty() ? world.problemAtRest() : world.problem();
 }
@@ -452,7 +453,7 @@
 
 TEST(StoreInterleaving, NoOrderOfAnswersAndReturnsFromOlderCopiesBreaksAPromise)
 {
-    // Some 30,000 are a minute by hand.
+    // By hand, some 30,000 seeds take a minute.
     const char* const wanted = std::getenv("INTERLEAVING_SEEDS");
     const auto seeds = wanted ? std::stoul(wanted) : 400;
     for (unsigned seed = 1; seed <= seeds; ++seed) {
