--- a/test/FeedHarness.h
+++ b/test/FeedHarness.h
@@ -16,20 +16,20 @@
 namespace lupinknot::platform {
 
 // A feed, and the rows that it has reported.
-struct Followed {
+struct RecordingFeed {
     // Advances only when the test advances it.
     ManualClock clock;
     std::map<std::string, std::string> rows;
     int snapshots { 0 };
     std::shared_ptr<StoreFeed> feed;
 
-    Followed() { clock.advance(Milliseconds { 1 }); }
+    RecordingFeed() { clock.advance(Milliseconds { 1 }); }
 
     void follow(boost::asio::io_context& ioContext, std::int64_t port, const std::string& table,
-        Milliseconds longestWait = Milliseconds { 40 }, std::shared_ptr<StoreEra> era = nullptr)
+        Milliseconds maxWait = Milliseconds { 40 }, std::shared_ptr<StoreEra> era = nullptr)
     {
-        const StoreFeed::Pace pace { longestWait, Milliseconds { 1 } };
-        feed = StoreFeed::start(ioContext, clock, { "127.0.0.1", port }, table, pace,
+        const StoreFeed::PollTiming timing { maxWait, Milliseconds { 1 } };
+        feed = StoreFeed::start(ioContext, clock, { "127.0.0.1", port }, table, timing,
             { [this](const std::vector<StoreRow>& whole) {
                  ++snapshots;
                  rows.clear();
@@ -52,26 +52,26 @@
 
 // A zone reader and one follower, each with a store of its own, so that the follower can see changes in the reader's
 // store only through the reader. Both stores start with the same row.
-struct SharedReading {
-    explicit SharedReading(boost::asio::io_context& ioContext, Milliseconds readersWait = readerWait,
-        Milliseconds followersWait = Milliseconds { 40 })
-        : readersStore(begun(ioContext))
-        , ownStore(begun(ioContext))
-        , vms(ioContext, { "127.0.0.1", readersStore->port() }, { "vm1", "a", {} }, {}, [](const auto&) {})
+struct ReaderAndFollower {
+    explicit ReaderAndFollower(boost::asio::io_context& ioContext, Milliseconds maxReaderWait = readerWait,
+        Milliseconds maxFollowerWait = Milliseconds { 40 })
+        : readerStore(startedStore(ioContext))
+        , followerStore(startedStore(ioContext))
+        , vms(ioContext, { "127.0.0.1", readerStore->port() }, { "vm1", "a", {} }, {}, [](const auto&) {})
         , feeds(ioContext, { "127.0.0.1", 0 }, vms)
         , noReaders(reader.clock, { "vm1", "a", {} })
         , readers(follower.clock, { "vm6", "a", {} })
     {
-        reader.follow(ioContext, readersStore->port(), "servers", readersWait);
+        reader.follow(ioContext, readerStore->port(), "servers", maxReaderWait);
         reader.feed->follow(noReaders, sharing);
         feeds.add(reader.feed);
         CHECK_FALSE(feeds.start().has_value());
-        follower.follow(ioContext, ownStore->port(), "servers", followersWait);
+        follower.follow(ioContext, followerStore->port(), "servers", maxFollowerWait);
         setReader({ "127.0.0.1", feeds.port() });
         follower.feed->follow(readers, sharing);
     }
 
-    static std::unique_ptr<StoreStandIn> begun(boost::asio::io_context& ioContext)
+    static std::unique_ptr<StoreStandIn> startedStore(boost::asio::io_context& ioContext)
     {
         auto store = std::make_unique<StoreStandIn>(ioContext);
         store->start();
@@ -86,23 +86,23 @@
             { "vm5", "a", {} } });
     }
 
-    bool haveBothBegun() { return follower.rows["a"] == "1" && reader.rows["a"] == "1"; }
+    bool haveBothRead() { return follower.rows["a"] == "1" && reader.rows["a"] == "1"; }
 
     // The two stores stand for one store: rows of the follower's store must be newer than those that the reader has
     // seen.
-    void putNewerIntoOwnStore(const std::string& key, const std::string& value)
+    void putNewerIntoFollowerStore(const std::string& key, const std::string& value)
     {
-        while (ownStore->version() < readersStore->version())
-            ownStore->put("op", "config", "1");
-        ownStore->put("servers", key, value);
+        while (followerStore->version() < readerStore->version())
+            followerStore->put("op", "config", "1");
+        followerStore->put("servers", key, value);
     }
 
     static constexpr StoreFeed::Sharing sharing { { readerWait, Milliseconds { 1 } }, readerWait, Milliseconds { 2000 },
         Milliseconds { 1000 }, Milliseconds { 1200 } };
-    Followed reader;
-    Followed follower;
-    std::unique_ptr<StoreStandIn> readersStore;
-    std::unique_ptr<StoreStandIn> ownStore;
+    RecordingFeed reader;
+    RecordingFeed follower;
+    std::unique_ptr<StoreStandIn> readerStore;
+    std::unique_ptr<StoreStandIn> followerStore;
     VmRegistry vms;
     PeerFeeds feeds;
     ZoneReaders noReaders;
--- a/test/PlatformCallProtocolTest.cpp
+++ b/test/PlatformCallProtocolTest.cpp
@@ -16,7 +16,7 @@
     }
 };
 
-TEST(PlatformCallProtocol, DecodesWhatACallerSays)
+TEST(PlatformCallProtocol, DecodesCallerHeaders)
 {
     const auto fields = protocol.decodeCaller(
         { { "X-Request-Id", "9c41" }, { "X-Deadline-Ms", "25000" }, { "Api-Key", "k" }, { "Last-Event-Id", "12" },
@@ -29,26 +29,26 @@
     STRCMP_EQUAL("", fields.malformedField.c_str());
 }
 
-TEST(PlatformCallProtocol, NamesAFieldThatIsNoNumber)
+TEST(PlatformCallProtocol, NamesAMalformedNumericHeader)
 {
     STRCMP_EQUAL("Last-Event-Id", protocol.decodeCaller({ { "Last-Event-Id", "-3" } }).malformedField.c_str());
     STRCMP_EQUAL("X-Deadline-Ms", protocol.decodeCaller({ { "X-Deadline-Ms", "" } }).malformedField.c_str());
 }
 
 // A request id is written to store rows and engine requests as JSON; invalid UTF-8 in it would end the process there.
-TEST(PlatformCallProtocol, TakesNoRequestIdThatIsNotPlainText)
+TEST(PlatformCallProtocol, RejectsARequestIdThatIsNotPlainText)
 {
     for (const auto& id : { std::string("a\xff"), std::string("a b"), std::string(201, 'a') })
         STRCMP_EQUAL("X-Request-Id", protocol.decodeCaller({ { "X-Request-Id", id } }).malformedField.c_str());
 }
 
-TEST(PlatformCallProtocol, KnowsNoPromptByANameThatIsNotHexadecimal)
+TEST(PlatformCallProtocol, IgnoresAPromptIdThatIsNotHexadecimal)
 {
     for (const auto& parts : { std::string("5c:8,\xff:2"), std::string("x&table=op:2"), std::string(201, 'a') + ":2" })
         STRCMP_EQUAL("", protocol.decodeCaller({ { "X-Prompt-Prefix", parts } }).promptId.c_str());
 }
 
-TEST(PlatformCallProtocol, TakesOutWhatACallerMayNotSay)
+TEST(PlatformCallProtocol, DropsReservedHeadersOfACaller)
 {
     HttpRequest caller { "POST", "/a/b?c=d", {}, "body" };
     caller.headers = { { "Host", "a.example" }, { "X-Tenant", "forged" }, { "X-Expect-Instance", "forged" },
@@ -73,7 +73,7 @@
         STRCMP_EQUAL_TEXT("absent", value(request.headers, name).c_str(), name);
 }
 
-TEST(PlatformCallProtocol, SaysWhereACopyGrowsAndWhereARunContinues)
+TEST(PlatformCallProtocol, EncodesTheCopyTargetAndTheContinuedRun)
 {
     ForwardFields fields;
     fields.lastEventId = 12;
@@ -85,7 +85,7 @@
     STRCMP_EQUAL("10.0.0.2:81/9c41", value(request.headers, "Kv-From").c_str());
 }
 
-TEST(PlatformCallProtocol, DecodesWhatAnAnswerProves)
+TEST(PlatformCallProtocol, DecodesResponseHeaders)
 {
     HttpResponse shed { 503, { { "X-Not-Executed", "1" } }, "" };
     CHECK(protocol.decodeAnswer(shed).isNotRun);
@@ -97,7 +97,7 @@
     STRCMP_EQUAL("9c41", fields.requestId.c_str());
 }
 
-TEST(PlatformCallProtocol, ReadsTheHandleOfAMovedRunWhateverItsType)
+TEST(PlatformCallProtocol, DecodesTheHandleOfAMovedRunWhateverItsType)
 {
     STRCMP_EQUAL("h1", protocol.decodeMoveRun({ 200, {}, R"({"handle":"h1"})" }).handle.c_str());
     STRCMP_EQUAL("7", protocol.decodeMoveRun({ 503, {}, R"({"handle":7})" }).handle.c_str());
@@ -106,7 +106,7 @@
     STRCMP_EQUAL("", unreadable.handle.c_str());
 }
 
-TEST(PlatformCallProtocol, ReadsAnEnginesLoad)
+TEST(PlatformCallProtocol, DecodesAnEngineReport)
 {
     const auto load = protocol.decodeLoad({ 200, {},
         R"({"waiting":2,"running":3,"kv-used":41000,"kv-total":55000,"runs":[["a",5,1,5],["b",6,2,5]],"next-token":9})" });
@@ -118,7 +118,7 @@
     LONGS_EQUAL(55000, load->memoryTotal);
 }
 
-TEST(PlatformCallProtocol, TakesNoLoadThatIsAbsentNegativeOrOfAnotherService)
+TEST(PlatformCallProtocol, RejectsAnInvalidEngineReport)
 {
     for (const auto* const text : { "", "[]", "{}", R"({"waiting":1,"running":1})", R"({"waiting":1,"runs":[]})",
              R"({"waiting":-1,"running":1,"runs":[]})", R"({"waiting":1,"running":-3,"runs":[]})",
@@ -128,7 +128,7 @@
     CHECK_FALSE(protocol.decodeLoad({ 503, {}, R"({"waiting":1,"running":1,"runs":[]})" }).has_value());
 }
 
-TEST(PlatformCallProtocol, BoundsALoadThatLies)
+TEST(PlatformCallProtocol, LimitsExcessiveCountsOfAnEngineReport)
 {
     const auto load = protocol.decodeLoad({ 200, {},
         R"({"waiting":18446744073709551615,"running":99999999,"kv-used":18446744073709551615,"kv-total":-1,"runs":[1]})" });
@@ -141,12 +141,12 @@
         "the list has more runs than are running");
 }
 
-TEST(PlatformCallProtocol, TellsCallersToComeBackInPartsOfASecond)
+TEST(PlatformCallProtocol, EncodesRetryAfterInFractionsOfASecond)
 {
     STRCMP_EQUAL("0.250", protocol.encodeRetryAfter(Milliseconds { 250 }).value.c_str());
 }
 
-TEST(PlatformCallProtocol, ReadsALimitThatIsADecimalNumber)
+TEST(PlatformCallProtocol, DecodesADecimalRateLimit)
 {
     const auto limitOf = [this](const std::string& text) {
         return protocol.decodeAnswer({ 200, { { "Server-Limit", text } }, "" }).limit;
@@ -158,7 +158,7 @@
     CHECK(!none.perSecond && none.unreadable.empty());
 }
 
-TEST(PlatformCallProtocol, NamesALimitThatCannotBeReadAndTakesNoNumberFromIt)
+TEST(PlatformCallProtocol, ReportsAnInvalidRateLimitWithoutANumber)
 {
     for (const auto* text : { "", "-1", "+1", "nan", "inf", "1e9", "1,5", "1.2.3", ".", " ", "0x1", "1 a second" }) {
         const auto limit = protocol.decodeAnswer({ 200, { { "Server-Limit", text } }, "" }).limit;
@@ -172,7 +172,7 @@
         CHECK(!limit.perSecond && !limit.unreadable.empty());
 }
 
-TEST(PlatformCallProtocol, ReadsHowLongAnEndpointWantsNoFurtherRequest)
+TEST(PlatformCallProtocol, DecodesTheBackOffOfAnEndpoint)
 {
     const auto restOf = [this](const std::string& text) {
         return protocol.decodeAnswer({ 503, { { "Retry-After", text } }, "" }).rest;
@@ -193,7 +193,7 @@
     CHECK(!protocol.decodeAnswer({ 200, { { "Retry-After", "3" } }, "" }).rest.time);
 }
 
-TEST(PlatformCallProtocol, TakesNoRestFromATimeThatCannotBeRead)
+TEST(PlatformCallProtocol, IgnoresAnInvalidBackOff)
 {
     for (const auto* text : { "", "-1", "nan", "inf", "1e9", "1,5", "soon", "Sun, 06 Nov 1994 08:49:41 GMT" }) {
         const auto rest = protocol.decodeAnswer({ 503, { { "Retry-After", text } }, "" }).rest;
@@ -201,7 +201,7 @@
     }
 }
 
-TEST(PlatformCallProtocol, ReadsThatAnEndpointLeaves)
+TEST(PlatformCallProtocol, DecodesThatAnEndpointIsShuttingDown)
 {
     CHECK(protocol.decodeAnswer({ 200, { { "Server-Leaving", "1" } }, "" }).isLeaving);
     CHECK(!protocol.decodeAnswer({ 200, { { "Server-Leaving", "0" } }, "" }).isLeaving);
--- a/test/PlatformRowsTest.cpp
+++ b/test/PlatformRowsTest.cpp
@@ -41,7 +41,7 @@
     LONGS_EQUAL(15000, configuration->callerLimits().idleTimeout.count());
 }
 
-TEST(PlatformRows, TreatsAnUnknownKindAsOneThatMustNotRunTwice)
+TEST(PlatformRows, RequestsOfAnUnknownKindMustNotRunTwice)
 {
     const auto configuration = decodeConfiguration(
         R"({"version":1,"routes":[{"host":"h","path-prefix":"/x/","kind":"new","service":"s"}],"services":[]})",
@@ -49,13 +49,13 @@
     CHECK_FALSE(configuration->findRoute("h", "/x/1")->mayRunAgain());
 }
 
-TEST(PlatformRows, RequiresKeysAlsoWhenTheLastOneHasGone)
+TEST(PlatformRows, RequiresApiKeysAfterTheLastOneWasRemoved)
 {
     const auto configuration = decodeConfiguration(R"({"version":1,"routes":[],"services":[],"tenants":[]})", problem);
     CHECK(configuration->hasOrganisations());
 }
 
-TEST(PlatformRows, SaysWhatIsWrongWithAConfiguration)
+TEST(PlatformRows, ReportsTheProblemOfAnInvalidConfiguration)
 {
     CHECK(!decodeConfiguration("{", problem));
     CHECK(!problem.empty());
@@ -74,14 +74,14 @@
     CHECK(entry->isDraining);
 }
 
-TEST(PlatformRows, SaysWhatIsWrongWithAnEndpoint)
+TEST(PlatformRows, ReportsTheProblemOfAnInvalidEndpoint)
 {
     CHECK(!decodeEndpoint("i-7f", R"({"service":"llm","address":"nowhere"})", problem));
     CHECK(!problem.empty());
 }
 
 // Other writers add entries to the same table. They describe no usable endpoint, and the other entries must stay valid.
-TEST(PlatformRows, TakesNoEntryForAnEndpointThatCannotBeOne)
+TEST(PlatformRows, RejectsEntriesThatAreNotEndpoints)
 {
     for (const auto* text :
         { "", "[]", "7", "null", "\xff\xfe{", R"({"service":"llm"})", R"({"service":"llm","address":"10.1.0.9:8080"})",
@@ -106,7 +106,7 @@
     }
 }
 
-TEST(PlatformRows, ReadsWhenAnEndpointStarted)
+TEST(PlatformRows, DecodesTheStartTimeOfAnEndpoint)
 {
     const auto entry = [this](const std::string& rest) {
         return decodeEndpoint(
@@ -120,7 +120,7 @@
     CHECK_TEXT(!entry(R"(,"born":"yesterday")"), "an entry with a field of the wrong type is not an endpoint's");
 }
 
-TEST(PlatformRows, SurvivesEntriesThatAreDeepOrLong)
+TEST(PlatformRows, RejectsDeeplyNestedOrLongEntries)
 {
     constexpr std::size_t depth = 100'000;
     const auto deep = std::string(depth, '[') + std::string(depth, ']');
--- a/test/PlatformSettingsTest.cpp
+++ b/test/PlatformSettingsTest.cpp
@@ -43,24 +43,24 @@
     DOUBLES_EQUAL(30, settings.relay.exposureLimit.slack, 1e-9);
     LONGS_EQUAL(5700, settings.relay.stopWithin.count());
     LONGS_EQUAL(2000, settings.feedWait.count());
-    LONGS_EQUAL(700, settings.endpointsRest.count());
+    LONGS_EQUAL(700, settings.endpointsPause.count());
     LONGS_EQUAL(600, settings.relay.leavingEndpointGrace.count());
 }
 
 // The worst case is the sum of the maximum accepted age of a reader's data, the wait at the reader, and a response that
 // never arrives.
-TEST(PlatformSettings, NewsHeardFromAReaderLeavesTimeForTheStoreAndForALastResort)
+TEST(PlatformSettings, ChangesFromAReaderArriveWithinTheTimeLimits)
 {
     const auto result = read("zone = \"hall-a\"\n[listen]\nfront = \"10.1.0.19:8740\"\nready = \"10.1.0.19:8749\"\n"
                              "[limits]\nlink-mbps = 10.0\n[bounds]\ndrain-ms = 3000\nconfig-apply-ms = 2000\n"
                              "[platform]\naddress = \"10.200.1.7:8742\"\n");
     STRCMP_EQUAL("", result.problem.c_str());
     const auto& sharing = result.settings.sharing;
-    const auto worst = sharing.oldestNews + sharing.longestWait + sharing.answerTime;
+    const auto worst = sharing.maxReaderAge + sharing.maxWait + sharing.responseTime;
     CHECK_TEXT(worst <= Milliseconds { 1200 }, "data may be older than six tenths of the shorter bound, 2000 ms");
     CHECK_TEXT(worst + result.settings.relay.leavingEndpointGrace < Milliseconds { 3000 },
         "an endpoint whose entry was removed may get requests after the 3000 ms that the deployment allows");
-    CHECK_TEXT(sharing.readerPace.restAfterNews + sharing.readerPace.longestWait < sharing.oldestNews,
+    CHECK_TEXT(sharing.readerTiming.pauseAfterChanges + sharing.readerTiming.maxWait < sharing.maxReaderAge,
         "the data of a reader that pauses after a change and then polls the store must be accepted");
     DOUBLES_EQUAL(10, result.settings.linkSpeed, 1e-9);
 }
@@ -71,7 +71,7 @@
     STRCMP_CONTAINS("listen.ready: expected IP:PORT, got nothing", result.problem.c_str());
 }
 
-TEST(PlatformSettings, NamesAnAddressThatIsNone)
+TEST(PlatformSettings, NamesAnInvalidAddress)
 {
     const auto result = read("[listen]\nfront = \"10.1.0.19:99999\"\n");
     STRCMP_CONTAINS("listen.front: expected IP:PORT, got \"10.1.0.19:99999\"", result.problem.c_str());
--- a/test/PlatformStoreTest.cpp
+++ b/test/PlatformStoreTest.cpp
@@ -31,10 +31,10 @@
     bool runUntil(const std::function<bool()>& condition) { return internal::runUntil(*ioContext, condition); }
 };
 
-TEST(PlatformStore, AFeedTellsTheTableAndItsChanges)
+TEST(PlatformStore, AFeedReportsTheTableAndItsChanges)
 {
     store->put("servers", "a", "1");
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "servers");
     CHECK(runUntil([&] { return followed.rows["a"] == "1"; }));
     store->put("servers", "b", "2");
@@ -48,16 +48,16 @@
 {
     for (int i = 0; i < 1203; ++i)
         store->put("servers", "k" + std::to_string(i), "v");
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "servers");
     CHECK(runUntil([&] { return followed.rows.size() == 1203; }));
     LONGS_EQUAL(1, followed.snapshots);
 }
 
-TEST(PlatformStore, AFeedReadsTheTableAnewAfterItsHistoryHasGone)
+TEST(PlatformStore, AFeedReadsTheTableAgainAfterAGapInTheHistory)
 {
     store->put("servers", "a", "1");
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "servers");
     CHECK(runUntil([&] { return followed.rows.count("a") == 1; }));
     store->setFault(StoreFault::Unavailable);
@@ -70,11 +70,11 @@
     LONGS_EQUAL(2, followed.snapshots);
 }
 
-TEST(PlatformStore, AFeedKeepsWhatItKnowsThroughAnOutage)
+TEST(PlatformStore, AFeedKeepsItsRowsDuringAnOutage)
 {
     for (const auto fault : { StoreFault::Unavailable, StoreFault::Silent }) {
         store->put("servers", "a", "1");
-        Followed followed;
+        RecordingFeed followed;
         followed.follow(*ioContext, store->port(), "servers");
         CHECK(runUntil([&] { return followed.rows.count("a") == 1; }));
         bool hasFailed = false;
@@ -88,14 +88,14 @@
     }
 }
 
-TEST(PlatformStore, AVmThatCannotReachTheStoreHearsItsNewsFromAnother)
+TEST(PlatformStore, AVmWithoutTheStoreGetsChangesFromAnotherVm)
 {
     store->put("op", "config", "1");
     StoreStandIn brokenStore(*ioContext);
     brokenStore.start();
     brokenStore.setFault(StoreFault::Unavailable);
 
-    Followed near;
+    RecordingFeed near;
     near.follow(*ioContext, store->port(), "op");
     VmRegistry nearVms(
         *ioContext, { "127.0.0.1", store->port() }, { "near", "a", {} }, {}, [](const std::vector<VmEntry>&) {});
@@ -104,7 +104,7 @@
     CHECK_FALSE(nearFeeds.start().has_value());
     const SocketAddress nearAddress { "127.0.0.1", nearFeeds.port() };
 
-    Followed far;
+    RecordingFeed far;
     far.follow(*ioContext, brokenStore.port(), "op");
     VmRegistry farVms(*ioContext, { "127.0.0.1", brokenStore.port() }, { "far", "a", {} },
         { { "near", "a", nearAddress } }, [](const std::vector<VmEntry>&) {});
@@ -118,53 +118,53 @@
 
 // When the store stops responding, the endpoint feed's long poll lasts up to 20 s; the configuration feed detects the
 // loss earlier and makes the endpoint feed call again.
-TEST(PlatformStore, AFeedThatIsAskedAnewCountsItsCallAsFailed)
+TEST(PlatformStore, ARestartedCallCountsAsFailed)
 {
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "servers", Milliseconds { 60000 });
     CHECK(runUntil([&] { return followed.snapshots == 1; }));
     store->setFault(StoreFault::Silent);
     CHECK(runUntil([&] { return store->callCount() == 2; }));
     bool hasFailed = false;
     followed.feed->onFailure([&] { hasFailed = true; });
-    followed.feed->askAnew();
+    followed.feed->restartCall();
     CHECK_TEXT(hasFailed, "other VMs are polled only after a failed call");
     store->setFault(StoreFault::None);
     store->put("servers", "a", "1");
     CHECK(runUntil([&] { return followed.rows["a"] == "1"; }));
 }
 
-TEST(PlatformStore, AVmHearsItsNewsFromTheReaderOfItsZone)
+TEST(PlatformStore, AFollowerGetsChangesFromItsZoneReader)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
-    shared.readersStore->put("servers", "b", "2");
-    shared.readersStore->remove("servers", "a");
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
+    shared.readerStore->put("servers", "b", "2");
+    shared.readerStore->remove("servers", "a");
     CHECK_TEXT(runUntil([&] { return shared.follower.rows["b"] == "2" && !shared.follower.rows.count("a"); }),
         "the change is in the reader's store only, so only the reader can provide it");
-    CHECK_TEXT(shared.ownStore->callCount() <= 2, "a VM that follows a reader should not call the store again");
+    CHECK_TEXT(shared.followerStore->callCount() <= 2, "a VM that follows a reader should not call the store again");
 }
 
-TEST(PlatformStore, AVmAsksTheStoreItselfWhenItsReaderHasNotHeardFromIt)
+TEST(PlatformStore, AFollowerCallsTheStoreWhenItsReaderHasLostTheStore)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
     bool hasFailed = false;
     shared.reader.feed->onFailure([&] { hasFailed = true; });
-    shared.readersStore->setFault(StoreFault::Unavailable);
+    shared.readerStore->setFault(StoreFault::Unavailable);
     CHECK(runUntil([&] { return hasFailed; }));
     shared.reader.clock.advance(Milliseconds { 1500 });
-    shared.putNewerIntoOwnStore("b", "2");
+    shared.putNewerIntoFollowerStore("b", "2");
     CHECK(runUntil([&] { return shared.follower.rows["b"] == "2"; }));
     CHECK_FALSE_TEXT(shared.readers.current().has_value(), "the reader should be skipped for a while");
 }
 
-TEST(PlatformStore, AVmGoesOnToTheNextReaderWhenTheFirstOneHasOldNews)
+TEST(PlatformStore, AFollowerPollsTheNextReaderWhenTheFirstHasOldData)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
-    const auto secondStore = SharedReading::begun(*ioContext);
-    Followed second;
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
+    const auto secondStore = ReaderAndFollower::startedStore(*ioContext);
+    RecordingFeed second;
     second.follow(*ioContext, secondStore->port(), "servers");
     PeerFeeds secondFeeds(*ioContext, { "127.0.0.1", 0 }, shared.vms);
     secondFeeds.add(second.feed);
@@ -172,114 +172,115 @@
     shared.setReader({ "127.0.0.1", shared.feeds.port() }, { "127.0.0.1", secondFeeds.port() });
     bool hasFailed = false;
     shared.reader.feed->onFailure([&] { hasFailed = true; });
-    shared.readersStore->setFault(StoreFault::Unavailable);
+    shared.readerStore->setFault(StoreFault::Unavailable);
     CHECK(runUntil([&] { return hasFailed; }));
     shared.reader.clock.advance(Milliseconds { 1500 });
-    while (secondStore->version() < shared.readersStore->version())
+    while (secondStore->version() < shared.readerStore->version())
         secondStore->put("op", "config", "1");
-    const auto calls = shared.ownStore->callCount();
+    const auto calls = shared.followerStore->callCount();
     secondStore->put("servers", "b", "2");
     CHECK_TEXT(runUntil([&] { return shared.follower.rows["b"] == "2"; }), "the next reader has the change");
     LONGS_EQUAL_TEXT(
-        calls, shared.ownStore->callCount(), "old data of one reader should not cause a call to the store");
+        calls, shared.followerStore->callCount(), "old data of one reader should not cause a call to the store");
 }
 
 // The store rejected all readers of a zone and served the zone's other VMs, which polled the readers in turn and
 // applied a configuration six seconds late.
-TEST(PlatformStore, AVmAsksTheStoreItselfWhenTheStoreTurnsAllReadersAway)
+TEST(PlatformStore, AFollowerCallsTheStoreWhenTheStoreRejectsAllReaders)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
     const SocketAddress address { "127.0.0.1", shared.feeds.port() };
     shared.readers.setOthers({ { "vm1", "a", address }, { "vm2", "a", address }, { "vm3", "a", address },
         { "vm4", "a", address }, { "vm5", "a", address } });
     bool hasFailed = false;
     shared.reader.feed->onFailure([&] { hasFailed = true; });
-    shared.readersStore->setFault(StoreFault::Unavailable);
+    shared.readerStore->setFault(StoreFault::Unavailable);
     CHECK(runUntil([&] { return hasFailed; }));
     shared.reader.clock.advance(Milliseconds { 1500 });
     shared.follower.clock.advance(Milliseconds { 1500 });
-    shared.putNewerIntoOwnStore("b", "2");
+    shared.putNewerIntoFollowerStore("b", "2");
     CHECK(runUntil([&] { return shared.follower.rows["b"] == "2"; }));
 }
 
 // A call that only confirms the known data must not wait for changes, because a reader may have some before the call
 // would end.
-TEST(PlatformStore, AVmThatTheStoreIsSilentToGoesOnToItsReadersSoon)
+TEST(PlatformStore, AFollowerReturnsToItsReadersSoonWhenTheStoreIsSilent)
 {
-    SharedReading shared(*ioContext, readerWait, Milliseconds { 60000 });
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
+    ReaderAndFollower shared(*ioContext, readerWait, Milliseconds { 60000 });
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
     const SocketAddress address { "127.0.0.1", shared.feeds.port() };
     shared.readers.setOthers({ { "vm1", "a", address }, { "vm2", "a", address }, { "vm3", "a", address },
         { "vm4", "a", address }, { "vm5", "a", address } });
     bool hasFailed = false;
     shared.reader.feed->onFailure([&] { hasFailed = true; });
-    shared.readersStore->setFault(StoreFault::Unavailable);
-    shared.ownStore->setFault(StoreFault::Silent);
+    shared.readerStore->setFault(StoreFault::Unavailable);
+    shared.followerStore->setFault(StoreFault::Silent);
     CHECK(runUntil([&] { return hasFailed; }));
-    const auto calls = shared.ownStore->callCount();
+    const auto calls = shared.followerStore->callCount();
     shared.reader.clock.advance(Milliseconds { 1500 });
     shared.follower.clock.advance(Milliseconds { 1500 });
-    CHECK(runUntil([&] { return shared.ownStore->callCount() > calls; }));
-    shared.readersStore->setFault(StoreFault::None);
-    shared.readersStore->put("servers", "b", "2");
+    CHECK(runUntil([&] { return shared.followerStore->callCount() > calls; }));
+    shared.readerStore->setFault(StoreFault::None);
+    shared.readerStore->put("servers", "b", "2");
     CHECK(runUntil([&] { return shared.follower.rows["b"] == "2"; }));
 }
 
 // Each VM calls a store that responds to nobody once, and again only after a growing pause.
-TEST(PlatformStore, AVmAsksASilentStoreRarelyBesideItsReaders)
+TEST(PlatformStore, AFollowerRarelyCallsAStoreThatIsDownForAll)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
     const SocketAddress address { "127.0.0.1", shared.feeds.port() };
     shared.readers.setOthers({ { "vm1", "a", address }, { "vm2", "a", address }, { "vm3", "a", address },
         { "vm4", "a", address }, { "vm5", "a", address } });
     bool hasFailed = false;
     shared.reader.feed->onFailure([&] { hasFailed = true; });
-    for (auto* const asked : { shared.readersStore.get(), shared.ownStore.get() })
+    for (auto* const asked : { shared.readerStore.get(), shared.followerStore.get() })
         asked->setFault(StoreFault::Unavailable);
     CHECK(runUntil([&] { return hasFailed; }));
-    const auto calls = shared.ownStore->callCount();
+    const auto calls = shared.followerStore->callCount();
     shared.reader.clock.advance(Milliseconds { 1500 });
     shared.follower.clock.advance(Milliseconds { 1500 });
     int failures = 0;
     shared.follower.feed->onFailure([&] { ++failures; });
     CHECK(runUntil([&] { return failures > 0; }));
-    const auto heard = shared.readersStore->callCount() + 3;
-    CHECK(runUntil([&] { return shared.readersStore->callCount() > heard; }));
-    LONGS_EQUAL_TEXT(calls + 1, shared.ownStore->callCount(), "the clock does not advance, so no second call is due");
+    const auto heard = shared.readerStore->callCount() + 3;
+    CHECK(runUntil([&] { return shared.readerStore->callCount() > heard; }));
+    LONGS_EQUAL_TEXT(
+        calls + 1, shared.followerStore->callCount(), "the clock does not advance, so no second call is due");
 }
 
-TEST(PlatformStore, ARowIsTakenFromAReaderWhateverItsAge)
+TEST(PlatformStore, ANewerRowIsAcceptedFromAReaderWhateverItsAge)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
-    shared.readersStore->put("servers", "b", "2");
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
+    shared.readerStore->put("servers", "b", "2");
     CHECK(runUntil([&] { return shared.reader.rows["b"] == "2"; }));
-    shared.readersStore->setFault(StoreFault::Unavailable);
+    shared.readerStore->setFault(StoreFault::Unavailable);
     shared.reader.clock.advance(Milliseconds { 1500 });
-    shared.ownStore->setFault(StoreFault::Unavailable);
+    shared.followerStore->setFault(StoreFault::Unavailable);
     CHECK_TEXT(
         runUntil([&] { return shared.follower.rows["b"] == "2"; }), "the row's version is newer than the known one");
 }
 
 // The reader was a follower itself until now, or its long poll lasts longer than its data may be old.
-TEST(PlatformStore, AVmThatOthersBeginToAskConfirmsWhatItKnows)
+TEST(PlatformStore, ANewReaderConfirmsItsDataForItsFirstFollower)
 {
-    SharedReading shared(*ioContext, Milliseconds { 60000 });
+    ReaderAndFollower shared(*ioContext, Milliseconds { 60000 });
     CHECK(runUntil([&] { return shared.reader.rows["a"] == "1"; }));
     shared.reader.clock.advance(Milliseconds { 5000 });
     CHECK(runUntil([&] { return shared.follower.rows["a"] == "1"; }));
-    const auto calls = shared.readersStore->callCount();
-    CHECK(runUntil([&] { return shared.readersStore->callCount() > calls; }));
-    shared.readersStore->put("servers", "b", "2");
+    const auto calls = shared.readerStore->callCount();
+    CHECK(runUntil([&] { return shared.readerStore->callCount() > calls; }));
+    shared.readerStore->put("servers", "b", "2");
     CHECK(runUntil([&] { return shared.follower.rows["b"] == "2"; }));
     CHECK_TEXT(shared.readers.current().has_value(), "the reader should not count as failed");
 }
 
 // A VM that has been cut off polls one that started later. A row that the first VM knows was removed before the second
 // one's first read, so the second one has no change that reports the removal.
-TEST(PlatformStore, AVmThatStartedAfterARemovalTellsTheWholeTable)
+TEST(PlatformStore, AVmThatStartedAfterARemovalSendsTheWholeTable)
 {
     // The two stores stand for one store; `earlier` is in the state that the cut-off VM saw last.
     StoreStandIn earlier(*ioContext);
@@ -288,12 +289,12 @@
         at->put("servers", "a", "1");
         at->put("servers", "b", "1");
     }
-    Followed cutOff;
+    RecordingFeed cutOff;
     cutOff.follow(*ioContext, earlier.port(), "servers");
     CHECK(runUntil([&] { return cutOff.rows.size() == 2; }));
     earlier.setFault(StoreFault::Silent);
     store->remove("servers", "a");
-    Followed started;
+    RecordingFeed started;
     started.follow(*ioContext, store->port(), "servers");
     CHECK(runUntil([&] { return started.snapshots == 1; }));
     cutOff.feed->takeFromPeer(started.feed->encodeChanges(*cutOff.feed->position()));
@@ -301,14 +302,14 @@
     LONGS_EQUAL(1, cutOff.rows.count("b"));
 }
 
-TEST(PlatformStore, AVmAsksTheStoreItselfWhenItsReaderHasGone)
+TEST(PlatformStore, AFollowerCallsTheStoreWhenItsReaderIsUnreachable)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
     // The port of a closed listener.
-    const SocketAddress closed { "127.0.0.1", SharedReading::begun(*ioContext)->port() };
+    const SocketAddress closed { "127.0.0.1", ReaderAndFollower::startedStore(*ioContext)->port() };
     shared.setReader(closed);
-    shared.putNewerIntoOwnStore("b", "2");
+    shared.putNewerIntoFollowerStore("b", "2");
     CHECK(runUntil([&] { return shared.follower.rows["b"] == "2"; }));
 }
 
@@ -323,7 +324,7 @@
     STRCMP_EQUAL("10.0.0.1:7200", second.choosePeer()->address.text().c_str());
 }
 
-TEST(PlatformStore, AVmThatStartsAgainReadsTheTableAndWritesNothing)
+TEST(PlatformStore, ARestartedVmReadsTheTableAndWritesNothing)
 {
     const SocketAddress address { "127.0.0.1", store->port() };
     const VmEntry self { "vm1", "a", { "10.0.0.1", 7200 }, 100 };
@@ -349,7 +350,7 @@
 // Thirty VMs that were new to the table started at the same moment. Each read the table before any of them was in it
 // and assumed that it was alone until its next read 30 s later. An endpoint that accepts 2.3 requests per second from
 // all VMs got 34 in four seconds (18 are allowed), because each VM used the whole limit.
-TEST(PlatformStore, NewcomersThatStartTogetherKnowEachOtherSoon)
+TEST(PlatformStore, NewVmsThatStartTogetherFindEachOtherSoon)
 {
     const SocketAddress address { "127.0.0.1", store->port() };
     std::array<std::size_t, 2> known { 0, 0 };
@@ -364,30 +365,30 @@
     CHECK(runUntil([&] { return known[0] == 2 && known[1] == 2; }));
 }
 
-TEST(PlatformStore, AFeedWaitsForTheReadersOfItsZoneAfterItsFirstReading)
+TEST(PlatformStore, AFeedWaitsForItsZoneReadersAfterItsFirstRead)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
-    Followed starting;
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
+    RecordingFeed starting;
     ZoneReaders readers(starting.clock, { "vm6", "a", {} });
     store->put("servers", "a", "1");
     starting.follow(*ioContext, store->port(), "servers", Milliseconds { 60000 });
-    starting.feed->follow(readers, SharedReading::sharing);
+    starting.feed->follow(readers, ReaderAndFollower::sharing);
     CHECK(runUntil([&] { return starting.rows["a"] == "1"; }));
     LONGS_EQUAL(1, store->callCount());
     readers.setOthers({ { "vm1", "a", { "127.0.0.1", shared.feeds.port() } }, { "vm2", "a", {} }, { "vm3", "a", {} },
         { "vm4", "a", {} }, { "vm5", "a", {} } });
-    starting.feed->readersKnown();
-    while (shared.readersStore->version() < store->version())
-        shared.readersStore->put("op", "config", "1");
-    shared.readersStore->put("servers", "b", "2");
+    starting.feed->noteReadersKnown();
+    while (shared.readerStore->version() < store->version())
+        shared.readerStore->put("op", "config", "1");
+    shared.readerStore->put("servers", "b", "2");
     CHECK(runUntil([&] { return starting.rows["b"] == "2"; }));
     LONGS_EQUAL_TEXT(1, store->callCount(), "after its first read the feed should poll the reader");
 }
 
-TEST(PlatformStore, AVmOfALargeZoneHearsOfOthersFromTheReader)
+TEST(PlatformStore, AVmOfALargeZoneGetsTheVmListFromTheReader)
 {
-    SharedReading shared(*ioContext);
+    ReaderAndFollower shared(*ioContext);
     shared.feeds.tell(VmRegistry::peerPath, [&shared](const std::string&) { return shared.vms.text(); });
     const SocketAddress address { "127.0.0.1", store->port() };
     CHECK(runUntil([&] { return shared.vms.text().has_value(); }));
@@ -426,7 +427,7 @@
     CHECK_FALSE(store->value("runs", "p1").has_value());
 }
 
-TEST(PlatformStore, NotesThatTheStoreRefusedAreWrittenOnceItIsBack)
+TEST(PlatformStore, RejectedNotesAreWrittenAfterTheStoreRecovers)
 {
     store->setFault(StoreFault::Unavailable);
     StoreRunLocations writer(*ioContext, { "127.0.0.1", store->port() });
@@ -437,7 +438,7 @@
     CHECK(runUntil([&] { return store->value("runs", "p1").has_value(); }));
 }
 
-TEST(PlatformStore, ANoteDoesNotGiveUpTheWriteThatIsUnderWay)
+TEST(PlatformStore, ANoteDoesNotCancelTheWriteInFlight)
 {
     store->setFault(StoreFault::Silent);
     StoreRunLocations writer(*ioContext, { "127.0.0.1", store->port() });
@@ -452,31 +453,31 @@
 
 TEST(PlatformStore, AVmOfALargeZoneHasItsNotesWrittenByTheReader)
 {
-    SharedReading shared(*ioContext);
-    auto& target = *shared.readersStore;
+    ReaderAndFollower shared(*ioContext);
+    auto& target = *shared.readerStore;
     StoreRunLocations readersLocations(*ioContext, { "127.0.0.1", target.port() });
     shared.feeds.take(
         StoreRunLocations::peerPath, [&](const std::string& body) { return readersLocations.takeFromPeer(body); });
-    StoreRunLocations locations(*ioContext, { "127.0.0.1", shared.ownStore->port() });
+    StoreRunLocations locations(*ioContext, { "127.0.0.1", shared.followerStore->port() });
     locations.shareThrough(shared.readers);
     locations.note("p1", { "e1", "e2", "r1" });
     CHECK(runUntil([&] { return target.value("runs", "p1").has_value(); }));
     locations.forget("p1");
     locations.note("p2", { "e1", "", "r2" });
     CHECK(runUntil([&] { return target.value("runs", "p2").has_value() && !target.value("runs", "p1").has_value(); }));
-    CHECK_FALSE_TEXT(shared.ownStore->value("runs", "p1").has_value(), "the VM itself should not have written");
+    CHECK_FALSE_TEXT(shared.followerStore->value("runs", "p1").has_value(), "the VM itself should not have written");
 }
 
-TEST(PlatformStore, NotesThatTheReaderDoesNotTakeAreWrittenByTheVmItself)
+TEST(PlatformStore, NotesRejectedByTheReaderAreWrittenByTheVmItself)
 {
-    SharedReading shared(*ioContext);
-    StoreRunLocations locations(*ioContext, { "127.0.0.1", shared.ownStore->port() });
+    ReaderAndFollower shared(*ioContext);
+    StoreRunLocations locations(*ioContext, { "127.0.0.1", shared.followerStore->port() });
     locations.shareThrough(shared.readers);
     locations.note("p1", { "e1", "e2", "r1" });
-    CHECK(runUntil([&] { return shared.ownStore->value("runs", "p1").has_value(); }));
+    CHECK(runUntil([&] { return shared.followerStore->value("runs", "p1").has_value(); }));
 }
 
-TEST(PlatformStore, NotesOfAnotherVmThatCannotBeReadAreRefused)
+TEST(PlatformStore, InvalidNotesOfAnotherVmAreRejected)
 {
     StoreRunLocations locations(*ioContext, { "127.0.0.1", store->port() });
     for (const auto* const text : { "", "[]", "{}", "{\"noted\":[],\"forgotten\":[]}", "{\"noted\":{}}" })
@@ -484,7 +485,7 @@
     CHECK(locations.takeFromPeer("{\"noted\":{\"p1\":7},\"forgotten\":[3]}"));
 }
 
-TEST(PlatformStore, ALookupThatFailsAnswersThatNothingIsKnown)
+TEST(PlatformStore, AFailedLookupReportsNoLocation)
 {
     StoreRunLocations reader(*ioContext, { "127.0.0.1", store->port() });
     for (const auto fault : { StoreFault::Unavailable, StoreFault::Silent, StoreFault::None }) {
--- a/test/RowTableTest.cpp
+++ b/test/RowTableTest.cpp
@@ -16,7 +16,7 @@
     }
 };
 
-TEST(RowTable, DropsARowThatIsOlderThanWhatIsKnown)
+TEST(RowTable, DropsARowThatIsNotNewerThanTheKnownOne)
 {
     LONGS_EQUAL(1, table.apply({ { "a", "new", false, 5 } }).size());
     LONGS_EQUAL(0, table.apply({ { "a", "old", false, 4 } }).size());
@@ -24,13 +24,13 @@
     STRCMP_EQUAL("new", decoded(0)[0].value.c_str());
 }
 
-TEST(RowTable, AnOldRowDoesNotBringARemovedOneBack)
+TEST(RowTable, AnOldRowDoesNotRestoreARemovedRow)
 {
     table.apply({ { "a", "", true, 5 } });
     LONGS_EQUAL(0, table.apply({ { "a", "old", false, 4 } }).size());
 }
 
-TEST(RowTable, TellsAnotherVmWhatItLacks)
+TEST(RowTable, EncodesTheChangesThatAnotherVmLacks)
 {
     table.apply({ { "a", "1", false, 3 }, { "b", "", true, 5 }, { "c", "3", false, 6 } });
     const auto rows = decoded(4);
@@ -40,7 +40,7 @@
     LONGS_EQUAL_TEXT(2, decoded(0).size(), "a VM that knows nothing should get the existing rows only");
 }
 
-TEST(RowTable, TakesRowsThatAWholeTableLacksForGone)
+TEST(RowTable, RowsMissingInAWholeTableAreRemoved)
 {
     table.apply({ { "a", "1", false, 3 }, { "b", "2", false, 4 } });
     const auto present = table.replace({ { "b", "2", false, 4 } }, { 0, 7 });
--- a/test/StoreHistoryTest.cpp
+++ b/test/StoreHistoryTest.cpp
@@ -36,7 +36,7 @@
     bool runUntil(const std::function<bool()>& condition) { return internal::runUntil(*ioContext, condition); }
 };
 
-TEST(StoreHistory, WhatIsWrittenAfterTheStoreHasGoneBackIsInForceAlthoughItsVersionIsSmaller)
+TEST(StoreHistory, ARowWrittenAfterARestoreIsAppliedDespiteItsLowerVersion)
 {
     for (const auto* const table : { "op", "servers" }) {
         store->put(table, "a", "1");
@@ -45,7 +45,7 @@
         for (int i = 0; i < 20; ++i)
             store->put("runs", "r" + std::to_string(i), "");
         store->put(table, "a", "2");
-        Followed followed;
+        RecordingFeed followed;
         followed.follow(*ioContext, store->port(), table);
         CHECK(runUntil([&] { return followed.rows["a"] == "2"; }));
         store->restoreCopy();
@@ -58,12 +58,12 @@
 
 // The store does not respond with 410, because it has issued more versions by the next call than the feed knew before
 // the restore.
-TEST(StoreHistory, AFeedReadsTheTableAnewWhenTheStoreHasOvertakenItSinceItWentBack)
+TEST(StoreHistory, AFeedReadsTheTableAgainWhenARestoredStoreHasPassedItsVersion)
 {
     store->put("servers", "a", "1");
     store->keepCopy();
     store->put("servers", "b", "1");
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "servers");
     CHECK(runUntil([&] { return followed.rows.size() == 2; }));
     store->restoreCopy();
@@ -74,12 +74,12 @@
 }
 
 // Calls to the store are billed, and all VMs learn of a restore at once.
-TEST(StoreHistory, AFeedThatHearsOfAReturnItselfReadsTheTableOnce)
+TEST(StoreHistory, AFeedThatDetectsARestoreReadsTheTableOnce)
 {
     store->put("servers", "a", "1");
     store->keepCopy();
     store->put("servers", "b", "1");
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "servers", Milliseconds { 60000 });
     CHECK(runUntil([&] { return store->callCount() == 2; }));
     store->restoreCopy();
@@ -88,17 +88,17 @@
         4, store->callCount(), "the first read and the poll, then the poll that gets 410 and the second read");
 }
 
-TEST(StoreHistory, AVmThatKnowsNothingNamesNoEra)
+TEST(StoreHistory, AVmThatKnowsNothingSendsNoEra)
 {
     STRCMP_EQUAL("/rows/op/0/50", PeerFeeds::target("op", {}, Milliseconds { 50 }).c_str());
     STRCMP_EQUAL("/rows/op/7/50?era=2", PeerFeeds::target("op", { 2, 7 }, Milliseconds { 50 }).c_str());
 }
 
-TEST(StoreHistory, AnEraThatCannotBeChangesNothing)
+TEST(StoreHistory, AnInvalidEraIsIgnored)
 {
     store->put("servers", "a", "1");
     for (const auto* const odd : { "", "-1", "x", "99999999999999999999999", "5000000" }) {
-        Followed followed;
+        RecordingFeed followed;
         store->sayEra(std::nullopt);
         followed.follow(*ioContext, store->port(), "servers");
         CHECK(runUntil([&] { return followed.snapshots == 1; }));
@@ -111,29 +111,29 @@
     }
 }
 
-TEST(StoreHistory, AVmHearsFromTheReaderOfItsZoneWhatIsWrittenAfterTheStoreHasGoneBack)
+TEST(StoreHistory, AFollowerGetsRowsWrittenAfterARestoreFromItsReader)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
-    shared.readersStore->keepCopy();
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
+    shared.readerStore->keepCopy();
     for (int i = 0; i < 20; ++i)
-        shared.readersStore->put("runs", "r" + std::to_string(i), "");
-    shared.readersStore->put("servers", "a", "2");
+        shared.readerStore->put("runs", "r" + std::to_string(i), "");
+    shared.readerStore->put("servers", "a", "2");
     CHECK(runUntil([&] { return shared.follower.rows["a"] == "2"; }));
-    const auto calls = shared.ownStore->callCount();
-    shared.readersStore->restoreCopy();
-    shared.readersStore->put("servers", "a", "3");
+    const auto calls = shared.followerStore->callCount();
+    shared.readerStore->restoreCopy();
+    shared.readerStore->put("servers", "a", "3");
     CHECK_TEXT(runUntil([&] { return shared.follower.rows["a"] == "3"; }), "the newest row should be in force");
-    LONGS_EQUAL_TEXT(calls, shared.ownStore->callCount(), "the reader should provide the row");
+    LONGS_EQUAL_TEXT(calls, shared.followerStore->callCount(), "the reader should provide the row");
 }
 
 // The store is restored between two pages, so the first page is of another history than the rest.
-TEST(StoreHistory, ATableThatIsReadInPagesIsOfOneHistory)
+TEST(StoreHistory, ARestoreBetweenTwoPagesRestartsTheRead)
 {
     store->keepCopy();
     for (int i = 0; i < 700; ++i)
         store->put("servers", "k" + std::to_string(1000 + i), "1");
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "servers");
     CHECK(runUntil([&] { return store->callCount() == 1; }));
     store->restoreCopy();
@@ -143,7 +143,7 @@
 }
 
 // The copy is some seconds old: it lists an endpoint as ready that has announced its shutdown since.
-TEST(StoreHistory, AnEndpointThatHasSaidThatItLeavesGetsNoWorkThoughAnOlderListNamesItReady)
+TEST(StoreHistory, AnEndpointInShutdownGetsNoRequestsThoughAnOlderListSaysReady)
 {
     const RelaySettings settings;
     EndpointDirectory directory(*ioContext, settings);
@@ -152,9 +152,9 @@
     const EndpointEntry staying { "e2", "s", { "127.0.0.1", 2 }, "a", 4, false };
     const Milliseconds now { 100000 };
     directory.replaceAll({ leaving, staying }, now);
-    auto saysSo = leaving;
-    saysSo.isDraining = true;
-    directory.upsert(saysSo, now);
+    auto shuttingDown = leaving;
+    shuttingDown.isDraining = true;
+    directory.upsert(shuttingDown, now);
     directory.replaceAll({ leaving, staying }, now);
     PlacementRequest request;
     request.service = "s";
@@ -162,7 +162,7 @@
         STRCMP_EQUAL("e2", placement.choose(request, now)->entry().id.c_str());
 }
 
-TEST(StoreHistory, AVmWhoseEntryTheStoreHasLostEntersItselfAgain)
+TEST(StoreHistory, AVmWritesItsEntryAgainAfterTheStoreHasLostIt)
 {
     const auto era = StoreEra::create(*ioContext);
     const SocketAddress address { "127.0.0.1", store->port() };
@@ -171,7 +171,7 @@
         *ioContext, address, { "vm1", "a", { "10.0.0.1", 7200 } }, {}, [](const std::vector<VmEntry>&) {},
         FleetStart::Together, era);
     CHECK(runUntil([&] { return store->value("vms", "vm1").has_value(); }));
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "op", Milliseconds { 40 }, era);
     CHECK(runUntil([&] { return followed.snapshots == 1; }));
     store->restoreCopy();
@@ -179,7 +179,7 @@
     CHECK(runUntil([&] { return store->value("vms", "vm1").has_value(); }));
 }
 
-TEST(StoreHistory, TheLocationOfAStreamThatRunsIsWrittenAgainAfterTheStoreHasLostIt)
+TEST(StoreHistory, TheLocationOfARunningStreamIsWrittenAgainAfterARestore)
 {
     const auto era = StoreEra::create(*ioContext);
     store->keepCopy();
@@ -189,7 +189,7 @@
     locations.note("dead", { "i-1", "", "r2" });
     CHECK(runUntil([&] { return store->value("runs", "beef") && store->value("runs", "dead"); }));
     locations.forget("dead");
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "op", Milliseconds { 40 }, era);
     CHECK(runUntil([&] { return followed.snapshots == 1; }));
     store->restoreCopy();
@@ -239,7 +239,7 @@
 
 } // namespace
 
-TEST(StoreHistory, AnEndpointThatHasComeSinceTheCopyStaysUntilItHasHadTimeToWriteAgain)
+TEST(StoreHistory, AnEndpointNewerThanTheCopyStaysUntilItHasHadTimeToWriteAgain)
 {
     RestoredList list(*ioContext);
     list.restore({ RestoredList::entry(1) });
@@ -256,7 +256,7 @@
 }
 
 // The store was unreachable again before the endpoint's next write, and the live endpoint was treated as gone.
-TEST(StoreHistory, AnEndpointThatTheListLacksStaysWhileTheStoreIsAwayAgain)
+TEST(StoreHistory, AnEndpointMissingInTheListStaysWhileTheStoreIsUnreachable)
 {
     RestoredList list(*ioContext);
     list.restore({ RestoredList::entry(1) });
@@ -265,7 +265,7 @@
     CHECK(list.isListed(2));
 }
 
-TEST(StoreHistory, AnEndpointThatHasGoneSinceTheCopyDoesNotComeBackBeforeItsEntryCouldHaveLapsed)
+TEST(StoreHistory, AnEndpointRemovedSinceTheCopyStaysRemovedUntilItsEntryCouldHaveExpired)
 {
     RestoredList list(*ioContext);
     list.directory.remove("e2", list.now);
@@ -282,7 +282,7 @@
 
 // The endpoint's removal was seen first. An older list then said that the endpoint was shutting down, which made it a
 // last resort for requests.
-TEST(StoreHistory, AnEndpointThatHasGoneIsNoLastResortOnceAnOlderListTellsThatItLeft)
+TEST(StoreHistory, ARemovedEndpointIsNoLastResortWhenAnOlderListSaysDraining)
 {
     RestoredList list(*ioContext);
     list.directory.remove("e2", list.now);
@@ -292,7 +292,7 @@
     CHECK_FALSE(list.directory.find("e2")->mayTakeWork(list.now, list.settings.leavingEndpointGrace));
 }
 
-TEST(StoreHistory, AnEndpointThatLeftSinceTheCopyGetsNoWorkWhenItsEntryIsStillThereAfterAll)
+TEST(StoreHistory, ADrainedEndpointGetsNoRequestsWhenItsRestoredEntryDoesNotExpire)
 {
     RestoredList list(*ioContext);
     auto leaving = RestoredList::entry(2);
--- a/test/StoreInterleavingTest.cpp
+++ b/test/StoreInterleavingTest.cpp
@@ -62,19 +62,19 @@
     std::unique_ptr<EndpointDirectory> directory;
     std::uint64_t configuration { 0 };
     // Incarnations that this VM knows to be shutting down.
-    std::set<std::string> heardLeaving;
+    std::set<std::string> knownShuttingDown;
     // Incarnations whose entries this VM knows to be removed.
-    std::set<std::string> heardGone;
+    std::set<std::string> knownRemoved;
     // Indexed by table: requests to the store and to other VMs overlap.
-    bool isAskingStore[2] { false, false };
-    bool isAskingVm[2] { false, false };
+    bool isCallingStore[2] { false, false };
+    bool isCallingVm[2] { false, false };
     // Until then this VM cannot reach the store.
-    Milliseconds cutUntil { 0 };
+    Milliseconds unreachableUntil { 0 };
 };
 
-class World {
+class Simulation {
 public:
-    explicit World(unsigned seed)
+    explicit Simulation(unsigned seed)
         : m_random(seed)
     {
         for (int i = 0; i < 3; ++i)
@@ -84,18 +84,18 @@
         writeConfiguration();
     }
 
-    void run(Milliseconds time, bool withTrouble)
+    void run(Milliseconds time, bool withFaults)
     {
         const auto end = m_now + time;
         for (; m_now < end; m_now += tick)
-            step(withTrouble);
+            step(withFaults);
     }
 
     // The violation so far, or an empty text.
     std::string problem() const { return m_problem; }
 
     // The violation that remains after the writers have written again and all responses have arrived, or an empty text.
-    std::string problemAtRest()
+    std::string finalProblem()
     {
         for (std::size_t i = 0; i < m_vms.size(); ++i) {
             auto& vm = m_vms[i];
@@ -109,7 +109,7 @@
                 const bool takesWork = known && known->mayTakeWork(m_now, m_settings.leavingEndpointGrace);
                 if (isListed != endpoint.isAlive)
                     return name + endpoint.entry.id
-                        + (isListed ? " is listed after its end" : " is alive but not listed");
+                        + (isListed ? " is listed although it has ended" : " is alive but not listed");
                 if (takesWork && endpoint.entry.isDraining)
                     return name + endpoint.entry.id + " gets requests while shutting down";
                 if (endpoint.isAlive && !endpoint.entry.isDraining && !takesWork)
@@ -162,25 +162,25 @@
         put("op", "config", std::to_string(m_configuration));
     }
 
-    void step(bool withTrouble)
+    void step(bool withFaults)
     {
-        if (m_now >= m_awayUntil)
-            workOfWriters(withTrouble);
-        if (withTrouble && m_now >= m_awayUntil && happens(0.02))
-            loseStore();
-        if (m_isAway && m_now >= m_awayUntil)
+        if (m_now >= m_unavailableUntil)
+            runWriters(withFaults);
+        if (withFaults && m_now >= m_unavailableUntil && happens(0.02))
+            stopStore();
+        if (m_isUnavailable && m_now >= m_unavailableUntil)
             restoreStore();
-        if (withTrouble && happens(0.01))
-            m_vms[number(0, 2)].cutUntil = m_now + Milliseconds { number(200, 3000) };
+        if (withFaults && happens(0.01))
+            m_vms[number(0, 2)].unreachableUntil = m_now + Milliseconds { number(200, 3000) };
         for (std::size_t i = 0; i < m_vms.size(); ++i)
-            askSomebody(i);
+            startRequests(i);
         deliver();
         for (auto& vm : m_vms)
             vm.directory->dropExpired(m_now);
         check();
     }
 
-    void workOfWriters(bool withTrouble)
+    void runWriters(bool withFaults)
     {
         if (m_now >= m_nextCopy) {
             m_copies.push_back(m_store);
@@ -195,11 +195,11 @@
             if (endpoint.isAlive && m_now >= endpoint.nextWrite)
                 writeEndpoint(endpoint);
         }
-        lapseEntries();
+        expireEntries();
         // Rows that other parts of the system write raise the store's version.
         if (happens(0.5))
             ++m_store.version;
-        if (!withTrouble)
+        if (!withFaults)
             return;
         if (happens(0.03))
             writeConfiguration();
@@ -223,93 +223,95 @@
         }
     }
 
-    void lapseEntries()
+    void expireEntries()
     {
         for (auto& [id, row] : m_store.tables["servers"]) {
-            if (!row.isRemoved && m_now - std::max(m_lastWrite[id], m_returnedAt) > 3 * heartbeat)
+            if (!row.isRemoved && m_now - std::max(m_lastWrite[id], m_restoredAt) > 3 * heartbeat)
                 remove("servers", id);
         }
     }
 
-    void loseStore()
+    void stopStore()
     {
-        m_isAway = true;
-        m_awayUntil = m_now + Milliseconds { happens(0.4) ? 0 : number(0, 2500) };
+        m_isUnavailable = true;
+        m_unavailableUntil = m_now + Milliseconds { happens(0.4) ? 0 : number(0, 2500) };
     }
 
     void restoreStore()
     {
-        m_isAway = false;
+        m_isUnavailable = false;
         m_store = m_copies[number(0, std::ssize(m_copies) - 1)];
         ++m_era;
-        m_returnedAt = m_now;
+        m_restoredAt = m_now;
         m_rewriteConfigurationAt = m_now + Milliseconds { number(0, 1000) };
         for (auto& endpoint : m_endpoints)
             endpoint.nextWrite = m_now + Milliseconds { number(0, heartbeat.count() - tick.count()) };
     }
 
-    void askSomebody(std::size_t index)
+    void startRequests(std::size_t index)
     {
         for (const int table : { 0, 1 }) {
             auto& vm = m_vms[index];
             // After its first read, the last VM gets all data from the other VMs.
             const bool isFollower = index + 1 == m_vms.size() && historyOf(vm, table).position();
-            if (!vm.isAskingVm[table] && (isFollower || happens(0.1)))
-                askVm(index, table);
-            if (!vm.isAskingStore[table] && !isFollower && m_now >= vm.cutUntil && !m_isAway)
-                askStore(index, table);
+            if (!vm.isCallingVm[table] && (isFollower || happens(0.1)))
+                callVm(index, table);
+            if (!vm.isCallingStore[table] && !isFollower && m_now >= vm.unreachableUntil && !m_isUnavailable)
+                callStore(index, table);
         }
     }
 
     TableHistory& historyOf(SimulatedVm& vm, int table) { return table == 0 ? vm.configurations : vm.endpoints; }
 
     // Delivers the response after a random delay; the flag is set while the request is in flight.
-    void later(bool& isAsking, std::function<void()> handle)
+    void deliverLater(bool& isInFlight, std::function<void()> handle)
     {
-        isAsking = true;
-        m_deliveries.push_back({ m_now + Milliseconds { number(0, 300) }, [&isAsking, handle] {
-                                    isAsking = false;
+        isInFlight = true;
+        m_deliveries.push_back({ m_now + Milliseconds { number(0, 300) }, [&isInFlight, handle] {
+                                    isInFlight = false;
                                     handle();
                                 } });
     }
 
     // The store processes the request at once; the response arrives later.
-    void askStore(std::size_t index, int table)
+    void callStore(std::size_t index, int table)
     {
         auto& vm = m_vms[index];
         auto& history = historyOf(vm, table);
         const auto& rows = m_store.tables[table == 0 ? "op" : "servers"];
-        const HistoryPosition answered { m_era, m_store.version };
-        std::vector<StoreRow> told;
+        const HistoryPosition responsePosition { m_era, m_store.version };
+        std::vector<StoreRow> sentRows;
         bool hasMore = false;
         bool isGone = false;
-        if (history.ask(vm.era)) {
+        if (history.startRequest(vm.era)) {
             const auto from = history.lastKey();
             for (auto row = from ? rows.upper_bound(*from) : rows.begin(); row != rows.end() && !hasMore; ++row) {
-                hasMore = told.size() == pageSize;
+                hasMore = sentRows.size() == pageSize;
                 if (!hasMore && !row->second.isRemoved)
-                    told.push_back(row->second);
+                    sentRows.push_back(row->second);
             }
         } else {
             isGone = history.position()->version > m_store.version;
             for (const auto& row : rows) {
                 if (row.second.version > history.position()->version)
-                    told.push_back(row.second);
+                    sentRows.push_back(row.second);
             }
         }
-        later(vm.isAskingStore[table], [this, &vm, &history, table, told, hasMore, isGone, answered, at = m_now] {
-            const bool isEarlier = answered.era < vm.era;
-            vm.era = std::max(vm.era, answered.era);
-            if (isGone)
-                history.noteHistoryGone(answered.era);
-            else
-                tell(vm, table, history.take(told, hasMore, answered));
-            if (!isEarlier && !isGone && table == 1 && history.position() && history.position()->era == answered.era)
-                vm.confirm(at);
-        });
+        deliverLater(vm.isCallingStore[table],
+            [this, &vm, &history, table, sentRows, hasMore, isGone, responsePosition, at = m_now] {
+                const bool isEarlier = responsePosition.era < vm.era;
+                vm.era = std::max(vm.era, responsePosition.era);
+                if (isGone)
+                    history.noteHistoryGone(responsePosition.era);
+                else
+                    applyUpdate(vm, table, history.applyResponse(sentRows, hasMore, responsePosition));
+                if (!isEarlier && !isGone && table == 1 && history.position()
+                    && history.position()->era == responsePosition.era)
+                    vm.confirm(at);
+            });
     }
 
-    void askVm(std::size_t index, int table)
+    void callVm(std::size_t index, int table)
     {
         const auto other = static_cast<std::size_t>(number(0, 2));
         auto& vm = m_vms[index];
@@ -320,41 +322,42 @@
         const auto text
             = othersHistory.encodeChanges(history.position().value_or(HistoryPosition {}), Milliseconds { 0 });
         const auto position = *othersHistory.position();
-        later(vm.isAskingVm[table], [this, &vm, &history, table, text, position, at = m_vms[other].confirmedAt] {
-            const auto body = nlohmann::json::parse(text);
-            vm.era = std::max(vm.era, position.era);
-            if (position.era != vm.era)
-                return;
-            tell(vm, table, history.takeFromVm(decodeRows(body), body.value("whole", false), position));
-            if (table == 1 && history.position() && *history.position() >= position)
-                vm.confirm(at);
-        });
+        deliverLater(
+            vm.isCallingVm[table], [this, &vm, &history, table, text, position, at = m_vms[other].confirmedAt] {
+                const auto body = nlohmann::json::parse(text);
+                vm.era = std::max(vm.era, position.era);
+                if (position.era != vm.era)
+                    return;
+                applyUpdate(vm, table, history.applyFromVm(decodeRows(body), body.value("whole", false), position));
+                if (table == 1 && history.position() && *history.position() >= position)
+                    vm.confirm(at);
+            });
     }
 
-    void tell(SimulatedVm& vm, int table, const std::optional<TableNews>& news)
+    void applyUpdate(SimulatedVm& vm, int table, const std::optional<TableUpdate>& update)
     {
-        if (!news)
+        if (!update)
             return;
         if (table == 0) {
             // Configurations are ordered by their own version.
-            for (const auto& row : news->rows)
+            for (const auto& row : update->rows)
                 vm.configuration = std::max<std::uint64_t>(vm.configuration, std::stoull(row.value));
             return;
         }
-        if (news->isRestored)
+        if (update->isRestored)
             vm.directory->listRestored(m_now);
         std::vector<EndpointEntry> entries;
         std::vector<EndpointChange> changes;
-        for (const auto& row : news->rows) {
+        for (const auto& row : update->rows) {
             auto entry = entryOf(row);
             if (row.isRemoved)
-                vm.heardGone.insert(row.key);
+                vm.knownRemoved.insert(row.key);
             else if (entry.isDraining)
-                vm.heardLeaving.insert(row.key);
+                vm.knownShuttingDown.insert(row.key);
             changes.push_back({ entry, row.isRemoved });
             entries.push_back(std::move(entry));
         }
-        if (news->isWhole)
+        if (update->isWhole)
             vm.directory->replaceAll(std::move(entries), m_now);
         else
             vm.directory->change(std::move(changes), m_now);
@@ -383,19 +386,19 @@
     void check()
     {
         for (auto& vm : m_vms) {
-            for (const auto& id : vm.heardLeaving) {
+            for (const auto& id : vm.knownShuttingDown) {
                 const auto known = vm.directory->find(id);
                 if (known && known->mayTakeWork(m_now, m_settings.leavingEndpointGrace))
                     m_problem = id + " gets requests after its shutdown was announced";
             }
-            checkGoneStayAway(vm);
-            checkLivingStay(vm);
+            checkRemovedStayRemoved(vm);
+            checkLiveStayListed(vm);
         }
     }
 
-    void checkGoneStayAway(const SimulatedVm& vm)
+    void checkRemovedStayRemoved(const SimulatedVm& vm)
     {
-        for (const auto& id : vm.heardGone) {
+        for (const auto& id : vm.knownRemoved) {
             const auto known = vm.directory->find(id);
             if (known && !known->isRemoved())
                 m_problem = id + " is listed again after its removal";
@@ -403,7 +406,7 @@
     }
 
     // A live endpoint that this VM has listed must stay listed.
-    void checkLivingStay(SimulatedVm& vm)
+    void checkLiveStayListed(SimulatedVm& vm)
     {
         for (const auto& endpoint : m_endpoints) {
             const auto known = vm.directory->find(endpoint.entry.id);
@@ -427,10 +430,10 @@
     std::vector<Delivery> m_deliveries;
     Milliseconds m_now { 100000 };
     Milliseconds m_nextCopy { 0 };
-    Milliseconds m_awayUntil { 0 };
-    Milliseconds m_returnedAt { 0 };
+    Milliseconds m_unavailableUntil { 0 };
+    Milliseconds m_restoredAt { 0 };
     std::optional<Milliseconds> m_rewriteConfigurationAt;
-    bool m_isAway { false };
+    bool m_isUnavailable { false };
     std::uint64_t m_era { 0 };
     std::uint64_t m_configuration { 0 };
     std::string m_problem;
@@ -438,20 +441,20 @@
 
 std::string problemOf(unsigned seed)
 {
-    World world(seed);
-    world.run(Milliseconds { 12000 }, true);
-    if (!world.problem().empty())
-        return world.problem();
+    Simulation simulation(seed);
+    simulation.run(Milliseconds { 12000 }, true);
+    if (!simulation.problem().empty())
+        return simulation.problem();
     // Time for the writes after a restore, three heartbeats until an entry expires, and the responses.
-    world.run(Milliseconds { 9000 }, false);
-    return world.problem().empty() ? world.problemAtRest() : world.problem();
+    simulation.run(Milliseconds { 9000 }, false);
+    return simulation.problem().empty() ? simulation.finalProblem() : simulation.problem();
 }
 
 } // namespace
 
 TEST_GROUP(StoreInterleaving) {};
 
-TEST(StoreInterleaving, NoOrderOfAnswersAndReturnsFromOlderCopiesBreaksAPromise)
+TEST(StoreInterleaving, NoOrderOfResponsesAndRestoresBreaksAGuarantee)
 {
     // By hand, some 30,000 seeds take a minute.
     const char* const wanted = std::getenv("INTERLEAVING_SEEDS");
