--- a/test/PlatformStoreTest.cpp
+++ b/test/PlatformStoreTest.cpp
@@ -226,7 +226,7 @@
     CHECK(runUntil([&] { return shared.follower.rows["b"] == "2"; }));
 }
 
-// Each VM calls a store that responds to nobody once, and again only after a growing pause.
+// When the store responds to nobody, each VM calls it once, and again only after a growing pause.
 TEST(PlatformStore, AFollowerRarelyCallsAStoreThatIsDownForAll)
 {
     ReaderAndFollower shared(*ioContext);
@@ -328,22 +328,23 @@
 {
     const SocketAddress address { "127.0.0.1", store->port() };
     const VmEntry self { "vm1", "a", { "10.0.0.1", 7200 }, 100 };
-    const auto start = [&](const VmEntry& vm, std::size_t& told) {
+    const auto start = [&](const VmEntry& vm, std::size_t& notifiedCount) {
         return std::make_unique<VmRegistry>(
             *ioContext, address, vm, std::vector<VmEntry> {},
-            [&told](const std::vector<VmEntry>& others) { told = others.size() + 1; }, FleetStart::Earlier);
+            [&notifiedCount](const std::vector<VmEntry>& others) { notifiedCount = others.size() + 1; },
+            FleetStart::Earlier);
     };
-    std::size_t told = 0;
-    auto first = start(self, told);
+    std::size_t notifiedCount = 0;
+    auto first = start(self, notifiedCount);
     CHECK(runUntil([&] { return store->value("vms", "vm1").has_value(); }));
     LONGS_EQUAL_TEXT(2, store->callCount(), "a VM that is not in the table should read it and add itself");
     first.reset();
     const auto calls = store->callCount();
-    const auto again = start(self, told = 0);
-    CHECK(runUntil([&] { return told == 1; }));
+    const auto again = start(self, notifiedCount = 0);
+    CHECK(runUntil([&] { return notifiedCount == 1; }));
     LONGS_EQUAL(calls + 1, store->callCount());
     // The VM restarts with another address.
-    const auto moved = start({ "vm1", "a", { "10.0.0.9", 7200 }, 100 }, told = 0);
+    const auto moved = start({ "vm1", "a", { "10.0.0.9", 7200 }, 100 }, notifiedCount = 0);
     CHECK(runUntil([&] { return store->value("vms", "vm1")->find("10.0.0.9") != std::string::npos; }));
 }
 
--- a/test/StoreHistoryTest.cpp
+++ b/test/StoreHistoryTest.cpp
@@ -10,7 +10,7 @@
 using namespace lupinknot::internal;
 using namespace lupinknot::platform;
 
-// After 2.5 s without a connection the platform's store was restored from an older copy. It reused versions, and each
+// The platform's store was unavailable for 2.5 s and was then restored from an older copy. It reused versions, and each
 // VM dropped rows whose version was lower than that of the row it knew. Until the store's version had passed the old
 // ones, a revoked key stayed in force and endpoints that were shutting down got requests. Configurations 24, 27, 31 and
 // 33, acknowledged between 21.8 and 24.5 s, were skipped: configuration 36 replaced 21 at 26.02 s, because the row of
