--- a/test/PlatformRowsTest.cpp
+++ b/test/PlatformRowsTest.cpp
@@ -41,7 +41,7 @@
     LONGS_EQUAL(15000, configuration->callerLimits().idleTimeout.count());
 }
 
-TEST(PlatformRows, TreatsAnUnknownKindAsOneThatMustNotRunTwice)
+TEST(PlatformRows, RequestsOfAnUnknownKindMustNotRunTwice)
 {
     const auto configuration = decodeConfiguration(
         R"({"version":1,"routes":[{"host":"h","path-prefix":"/x/","kind":"new","service":"s"}],"services":[]})",
@@ -49,13 +49,13 @@
     CHECK_FALSE(configuration->findRoute("h", "/x/1")->mayRunAgain());
 }
 
-TEST(PlatformRows, RequiresKeysAlsoWhenTheLastOneHasGone)
+TEST(PlatformRows, RequiresApiKeysAfterTheLastOneWasRemoved)
 {
     const auto configuration = decodeConfiguration(R"({"version":1,"routes":[],"services":[],"tenants":[]})", problem);
     CHECK(configuration->hasOrganisations());
 }
 
-TEST(PlatformRows, SaysWhatIsWrongWithAConfiguration)
+TEST(PlatformRows, ReportsTheProblemOfAnInvalidConfiguration)
 {
     CHECK(!decodeConfiguration("{", problem));
     CHECK(!problem.empty());
@@ -74,14 +74,14 @@
     CHECK(entry->isDraining);
 }
 
-TEST(PlatformRows, SaysWhatIsWrongWithAnEndpoint)
+TEST(PlatformRows, ReportsTheProblemOfAnInvalidEndpoint)
 {
     CHECK(!decodeEndpoint("i-7f", R"({"service":"llm","address":"nowhere"})", problem));
     CHECK(!problem.empty());
 }
 
-// Entries of other writers stand in the same table; they name no endpoint to use, and the others hold.
-TEST(PlatformRows, TakesNoEntryForAnEndpointThatCannotBeOne)
+// Other writers add entries to the same table. They describe no usable endpoint, and the other entries must stay valid.
+TEST(PlatformRows, RejectsEntriesThatAreNotEndpoints)
 {
     for (const auto* text :
         { "", "[]", "7", "null", "\xff\xfe{", R"({"service":"llm"})", R"({"service":"llm","address":"10.1.0.9:8080"})",
@@ -106,21 +106,21 @@
     }
 }
 
-TEST(PlatformRows, ReadsWhenAnEndpointStarted)
+TEST(PlatformRows, DecodesTheStartTimeOfAnEndpoint)
 {
     const auto entry = [this](const std::string& rest) {
         return decodeEndpoint(
             "i-7f", R"({"service":"llm","address":"10.1.0.9:8080","state":"ready")" + rest + "}", problem);
     };
     CHECK(entry(R"(,"born":1791000000123)")->born == 1791000000123);
-    CHECK_TEXT(entry("")->born == 0, "an endpoint need not say it");
-    CHECK_TEXT(entry(R"(,"born":-5)")->born == 0, "it is no start");
-    CHECK_TEXT(entry(R"(,"born":0)")->born == 0, "it is no start");
+    CHECK_TEXT(entry("")->born == 0, "the start time is optional");
+    CHECK_TEXT(entry(R"(,"born":-5)")->born == 0, "not a valid start time");
+    CHECK_TEXT(entry(R"(,"born":0)")->born == 0, "not a valid start time");
     STRCMP_EQUAL("i-7f@1791000000123", entry(R"(,"born":1791000000123)")->startName().c_str());
-    CHECK_TEXT(!entry(R"(,"born":"yesterday")"), "an entry with a field of another type is another writer's");
+    CHECK_TEXT(!entry(R"(,"born":"yesterday")"), "an entry with a field of the wrong type is not an endpoint's");
 }
 
-TEST(PlatformRows, SurvivesEntriesThatAreDeepOrLong)
+TEST(PlatformRows, RejectsDeeplyNestedOrLongEntries)
 {
     constexpr std::size_t depth = 100'000;
     const auto deep = std::string(depth, '[') + std::string(depth, ']');
--- a/test/PlatformStoreTest.cpp
+++ b/test/PlatformStoreTest.cpp
@@ -31,10 +31,10 @@
     bool runUntil(const std::function<bool()>& condition) { return internal::runUntil(*ioContext, condition); }
 };
 
-TEST(PlatformStore, AFeedTellsTheTableAndItsChanges)
+TEST(PlatformStore, AFeedReportsTheTableAndItsChanges)
 {
     store->put("servers", "a", "1");
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "servers");
     CHECK(runUntil([&] { return followed.rows["a"] == "1"; }));
     store->put("servers", "b", "2");
@@ -48,16 +48,16 @@
 {
     for (int i = 0; i < 1203; ++i)
         store->put("servers", "k" + std::to_string(i), "v");
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "servers");
     CHECK(runUntil([&] { return followed.rows.size() == 1203; }));
     LONGS_EQUAL(1, followed.snapshots);
 }
 
-TEST(PlatformStore, AFeedReadsTheTableAnewAfterItsHistoryHasGone)
+TEST(PlatformStore, AFeedReadsTheTableAgainAfterAGapInTheHistory)
 {
     store->put("servers", "a", "1");
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "servers");
     CHECK(runUntil([&] { return followed.rows.count("a") == 1; }));
     store->setFault(StoreFault::Unavailable);
@@ -70,11 +70,11 @@
     LONGS_EQUAL(2, followed.snapshots);
 }
 
-TEST(PlatformStore, AFeedKeepsWhatItKnowsThroughAnOutage)
+TEST(PlatformStore, AFeedKeepsItsRowsDuringAnOutage)
 {
     for (const auto fault : { StoreFault::Unavailable, StoreFault::Silent }) {
         store->put("servers", "a", "1");
-        Followed followed;
+        RecordingFeed followed;
         followed.follow(*ioContext, store->port(), "servers");
         CHECK(runUntil([&] { return followed.rows.count("a") == 1; }));
         bool hasFailed = false;
@@ -88,14 +88,14 @@
     }
 }
 
-TEST(PlatformStore, AVmThatCannotReachTheStoreHearsItsNewsFromAnother)
+TEST(PlatformStore, AVmWithoutTheStoreGetsChangesFromAnotherVm)
 {
     store->put("op", "config", "1");
     StoreStandIn brokenStore(*ioContext);
     brokenStore.start();
     brokenStore.setFault(StoreFault::Unavailable);
 
-    Followed near;
+    RecordingFeed near;
     near.follow(*ioContext, store->port(), "op");
     VmRegistry nearVms(
         *ioContext, { "127.0.0.1", store->port() }, { "near", "a", {} }, {}, [](const std::vector<VmEntry>&) {});
@@ -104,7 +104,7 @@
     CHECK_FALSE(nearFeeds.start().has_value());
     const SocketAddress nearAddress { "127.0.0.1", nearFeeds.port() };
 
-    Followed far;
+    RecordingFeed far;
     far.follow(*ioContext, brokenStore.port(), "op");
     VmRegistry farVms(*ioContext, { "127.0.0.1", brokenStore.port() }, { "far", "a", {} },
         { { "near", "a", nearAddress } }, [](const std::vector<VmEntry>&) {});
@@ -116,54 +116,55 @@
     CHECK(runUntil([&] { return far.rows["config"] == "2"; }));
 }
 
-// A silent store lets the endpoints' long call wait for 20 s; the configuration's feed notices earlier and says so.
-TEST(PlatformStore, AFeedThatIsAskedAnewCountsItsCallAsFailed)
+// When the store stops responding, the endpoint feed's long poll lasts up to 20 s; the configuration feed detects the
+// loss earlier and makes the endpoint feed call again.
+TEST(PlatformStore, ARestartedCallCountsAsFailed)
 {
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "servers", Milliseconds { 60000 });
     CHECK(runUntil([&] { return followed.snapshots == 1; }));
     store->setFault(StoreFault::Silent);
     CHECK(runUntil([&] { return store->callCount() == 2; }));
     bool hasFailed = false;
     followed.feed->onFailure([&] { hasFailed = true; });
-    followed.feed->askAnew();
-    CHECK_TEXT(hasFailed, "other VMs are asked only when a call has failed");
+    followed.feed->restartCall();
+    CHECK_TEXT(hasFailed, "other VMs are polled only after a failed call");
     store->setFault(StoreFault::None);
     store->put("servers", "a", "1");
     CHECK(runUntil([&] { return followed.rows["a"] == "1"; }));
 }
 
-TEST(PlatformStore, AVmHearsItsNewsFromTheReaderOfItsZone)
+TEST(PlatformStore, AFollowerGetsChangesFromItsZoneReader)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
-    shared.readersStore->put("servers", "b", "2");
-    shared.readersStore->remove("servers", "a");
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
+    shared.readerStore->put("servers", "b", "2");
+    shared.readerStore->remove("servers", "a");
     CHECK_TEXT(runUntil([&] { return shared.follower.rows["b"] == "2" && !shared.follower.rows.count("a"); }),
-        "the news is in the reader's store only, so it can come from the reader alone");
-    CHECK_TEXT(shared.ownStore->callCount() <= 2, "a VM that follows a reader should not ask the store again");
+        "the change is in the reader's store only, so only the reader can provide it");
+    CHECK_TEXT(shared.followerStore->callCount() <= 2, "a VM that follows a reader should not call the store again");
 }
 
-TEST(PlatformStore, AVmAsksTheStoreItselfWhenItsReaderHasNotHeardFromIt)
+TEST(PlatformStore, AFollowerCallsTheStoreWhenItsReaderHasLostTheStore)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
     bool hasFailed = false;
     shared.reader.feed->onFailure([&] { hasFailed = true; });
-    shared.readersStore->setFault(StoreFault::Unavailable);
+    shared.readerStore->setFault(StoreFault::Unavailable);
     CHECK(runUntil([&] { return hasFailed; }));
     shared.reader.clock.advance(Milliseconds { 1500 });
-    shared.putNewerIntoOwnStore("b", "2");
+    shared.putNewerIntoFollowerStore("b", "2");
     CHECK(runUntil([&] { return shared.follower.rows["b"] == "2"; }));
-    CHECK_FALSE_TEXT(shared.readers.current().has_value(), "the reader should be passed over for a while");
+    CHECK_FALSE_TEXT(shared.readers.current().has_value(), "the reader should be skipped for a while");
 }
 
-TEST(PlatformStore, AVmGoesOnToTheNextReaderWhenTheFirstOneHasOldNews)
+TEST(PlatformStore, AFollowerPollsTheNextReaderWhenTheFirstHasOldData)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
-    const auto secondStore = SharedReading::begun(*ioContext);
-    Followed second;
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
+    const auto secondStore = ReaderAndFollower::startedStore(*ioContext);
+    RecordingFeed second;
     second.follow(*ioContext, secondStore->port(), "servers");
     PeerFeeds secondFeeds(*ioContext, { "127.0.0.1", 0 }, shared.vms);
     secondFeeds.add(second.feed);
@@ -171,140 +172,144 @@
     shared.setReader({ "127.0.0.1", shared.feeds.port() }, { "127.0.0.1", secondFeeds.port() });
     bool hasFailed = false;
     shared.reader.feed->onFailure([&] { hasFailed = true; });
-    shared.readersStore->setFault(StoreFault::Unavailable);
+    shared.readerStore->setFault(StoreFault::Unavailable);
     CHECK(runUntil([&] { return hasFailed; }));
     shared.reader.clock.advance(Milliseconds { 1500 });
-    while (secondStore->version() < shared.readersStore->version())
+    while (secondStore->version() < shared.readerStore->version())
         secondStore->put("op", "config", "1");
-    const auto calls = shared.ownStore->callCount();
+    const auto calls = shared.followerStore->callCount();
     secondStore->put("servers", "b", "2");
-    CHECK_TEXT(runUntil([&] { return shared.follower.rows["b"] == "2"; }), "the next reader has the news");
-    LONGS_EQUAL_TEXT(calls, shared.ownStore->callCount(), "old news of one VM is no reason to ask the store");
+    CHECK_TEXT(runUntil([&] { return shared.follower.rows["b"] == "2"; }), "the next reader has the change");
+    LONGS_EQUAL_TEXT(
+        calls, shared.followerStore->callCount(), "old data of one reader should not cause a call to the store");
 }
 
-// Found by trouble-1 of pwani-pay-grown: the store turned away all readers of a zone and served the zone's other VMs,
-// which followed the readers in turn and applied a configuration six seconds late.
-TEST(PlatformStore, AVmAsksTheStoreItselfWhenTheStoreTurnsAllReadersAway)
+// The store rejected all readers of a zone and served the zone's other VMs, which polled the readers in turn and
+// applied a configuration six seconds late.
+TEST(PlatformStore, AFollowerCallsTheStoreWhenTheStoreRejectsAllReaders)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
     const SocketAddress address { "127.0.0.1", shared.feeds.port() };
     shared.readers.setOthers({ { "vm1", "a", address }, { "vm2", "a", address }, { "vm3", "a", address },
         { "vm4", "a", address }, { "vm5", "a", address } });
     bool hasFailed = false;
     shared.reader.feed->onFailure([&] { hasFailed = true; });
-    shared.readersStore->setFault(StoreFault::Unavailable);
+    shared.readerStore->setFault(StoreFault::Unavailable);
     CHECK(runUntil([&] { return hasFailed; }));
     shared.reader.clock.advance(Milliseconds { 1500 });
     shared.follower.clock.advance(Milliseconds { 1500 });
-    shared.putNewerIntoOwnStore("b", "2");
+    shared.putNewerIntoFollowerStore("b", "2");
     CHECK(runUntil([&] { return shared.follower.rows["b"] == "2"; }));
 }
 
-// A call that only confirms what is known does not wait for news, and the readers may have some before it would end.
-TEST(PlatformStore, AVmThatTheStoreIsSilentToGoesOnToItsReadersSoon)
+// A call that only confirms the known data must not wait for changes, because a reader may have some before the call
+// would end.
+TEST(PlatformStore, AFollowerReturnsToItsReadersSoonWhenTheStoreIsSilent)
 {
-    SharedReading shared(*ioContext, readerWait, Milliseconds { 60000 });
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
+    ReaderAndFollower shared(*ioContext, readerWait, Milliseconds { 60000 });
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
     const SocketAddress address { "127.0.0.1", shared.feeds.port() };
     shared.readers.setOthers({ { "vm1", "a", address }, { "vm2", "a", address }, { "vm3", "a", address },
         { "vm4", "a", address }, { "vm5", "a", address } });
     bool hasFailed = false;
     shared.reader.feed->onFailure([&] { hasFailed = true; });
-    shared.readersStore->setFault(StoreFault::Unavailable);
-    shared.ownStore->setFault(StoreFault::Silent);
+    shared.readerStore->setFault(StoreFault::Unavailable);
+    shared.followerStore->setFault(StoreFault::Silent);
     CHECK(runUntil([&] { return hasFailed; }));
-    const auto calls = shared.ownStore->callCount();
+    const auto calls = shared.followerStore->callCount();
     shared.reader.clock.advance(Milliseconds { 1500 });
     shared.follower.clock.advance(Milliseconds { 1500 });
-    CHECK(runUntil([&] { return shared.ownStore->callCount() > calls; }));
-    shared.readersStore->setFault(StoreFault::None);
-    shared.readersStore->put("servers", "b", "2");
+    CHECK(runUntil([&] { return shared.followerStore->callCount() > calls; }));
+    shared.readerStore->setFault(StoreFault::None);
+    shared.readerStore->put("servers", "b", "2");
     CHECK(runUntil([&] { return shared.follower.rows["b"] == "2"; }));
 }
 
-// A store that answers nobody is asked once by each VM, and again only after a pause that grows.
-TEST(PlatformStore, AVmAsksASilentStoreRarelyBesideItsReaders)
+// When the store responds to nobody, each VM calls it once, and again only after a growing pause.
+TEST(PlatformStore, AFollowerRarelyCallsAStoreThatIsDownForAll)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
     const SocketAddress address { "127.0.0.1", shared.feeds.port() };
     shared.readers.setOthers({ { "vm1", "a", address }, { "vm2", "a", address }, { "vm3", "a", address },
         { "vm4", "a", address }, { "vm5", "a", address } });
     bool hasFailed = false;
     shared.reader.feed->onFailure([&] { hasFailed = true; });
-    for (auto* const asked : { shared.readersStore.get(), shared.ownStore.get() })
+    for (auto* const asked : { shared.readerStore.get(), shared.followerStore.get() })
         asked->setFault(StoreFault::Unavailable);
     CHECK(runUntil([&] { return hasFailed; }));
-    const auto calls = shared.ownStore->callCount();
+    const auto calls = shared.followerStore->callCount();
     shared.reader.clock.advance(Milliseconds { 1500 });
     shared.follower.clock.advance(Milliseconds { 1500 });
     int failures = 0;
     shared.follower.feed->onFailure([&] { ++failures; });
     CHECK(runUntil([&] { return failures > 0; }));
-    const auto heard = shared.readersStore->callCount() + 3;
-    CHECK(runUntil([&] { return shared.readersStore->callCount() > heard; }));
-    LONGS_EQUAL_TEXT(calls + 1, shared.ownStore->callCount(), "the clock stands still, so no second call is due");
+    const auto heard = shared.readerStore->callCount() + 3;
+    CHECK(runUntil([&] { return shared.readerStore->callCount() > heard; }));
+    LONGS_EQUAL_TEXT(
+        calls + 1, shared.followerStore->callCount(), "the clock does not advance, so no second call is due");
 }
 
-TEST(PlatformStore, ARowIsTakenFromAReaderWhateverItsAge)
+TEST(PlatformStore, ANewerRowIsAcceptedFromAReaderWhateverItsAge)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
-    shared.readersStore->put("servers", "b", "2");
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
+    shared.readerStore->put("servers", "b", "2");
     CHECK(runUntil([&] { return shared.reader.rows["b"] == "2"; }));
-    shared.readersStore->setFault(StoreFault::Unavailable);
+    shared.readerStore->setFault(StoreFault::Unavailable);
     shared.reader.clock.advance(Milliseconds { 1500 });
-    shared.ownStore->setFault(StoreFault::Unavailable);
-    CHECK_TEXT(runUntil([&] { return shared.follower.rows["b"] == "2"; }), "its version says that it is news");
+    shared.followerStore->setFault(StoreFault::Unavailable);
+    CHECK_TEXT(
+        runUntil([&] { return shared.follower.rows["b"] == "2"; }), "the row's version is newer than the known one");
 }
 
-// The reader was a follower itself, or waits at the store for longer than its knowledge may be old.
-TEST(PlatformStore, AVmThatOthersBeginToAskConfirmsWhatItKnows)
+// The reader was a follower itself until now, or its long poll lasts longer than its data may be old.
+TEST(PlatformStore, ANewReaderConfirmsItsDataForItsFirstFollower)
 {
-    SharedReading shared(*ioContext, Milliseconds { 60000 });
+    ReaderAndFollower shared(*ioContext, Milliseconds { 60000 });
     CHECK(runUntil([&] { return shared.reader.rows["a"] == "1"; }));
     shared.reader.clock.advance(Milliseconds { 5000 });
     CHECK(runUntil([&] { return shared.follower.rows["a"] == "1"; }));
-    const auto calls = shared.readersStore->callCount();
-    CHECK(runUntil([&] { return shared.readersStore->callCount() > calls; }));
-    shared.readersStore->put("servers", "b", "2");
+    const auto calls = shared.readerStore->callCount();
+    CHECK(runUntil([&] { return shared.readerStore->callCount() > calls; }));
+    shared.readerStore->put("servers", "b", "2");
     CHECK(runUntil([&] { return shared.follower.rows["b"] == "2"; }));
     CHECK_TEXT(shared.readers.current().has_value(), "the reader should not count as failed");
 }
 
-// Found by reading: a VM that has been cut off asks one that has started since. The removal of a row that the first one
-// knows happened before the second one's first reading, so no change tells of it.
-TEST(PlatformStore, AVmThatStartedAfterARemovalTellsTheWholeTable)
+// A VM that has been cut off polls one that started later. A row that the first VM knows was removed before the second
+// one's first read, so the second one has no change that reports the removal.
+TEST(PlatformStore, AVmThatStartedAfterARemovalSendsTheWholeTable)
 {
-    // The two stores stand for one; the first is as the VM that is cut off has seen it last.
+    // The two stores stand for one store; `earlier` is in the state that the cut-off VM saw last.
     StoreStandIn earlier(*ioContext);
     earlier.start();
     for (auto* const at : { &earlier, store.get() }) {
         at->put("servers", "a", "1");
         at->put("servers", "b", "1");
     }
-    Followed cutOff;
+    RecordingFeed cutOff;
     cutOff.follow(*ioContext, earlier.port(), "servers");
     CHECK(runUntil([&] { return cutOff.rows.size() == 2; }));
     earlier.setFault(StoreFault::Silent);
     store->remove("servers", "a");
-    Followed started;
+    RecordingFeed started;
     started.follow(*ioContext, store->port(), "servers");
     CHECK(runUntil([&] { return started.snapshots == 1; }));
     cutOff.feed->takeFromPeer(started.feed->encodeChanges(*cutOff.feed->position()));
-    CHECK_TEXT(cutOff.rows.count("a") == 0, "the row that is gone should be gone here too");
+    CHECK_TEXT(cutOff.rows.count("a") == 0, "the removed row should be removed here too");
     LONGS_EQUAL(1, cutOff.rows.count("b"));
 }
 
-TEST(PlatformStore, AVmAsksTheStoreItselfWhenItsReaderHasGone)
+TEST(PlatformStore, AFollowerCallsTheStoreWhenItsReaderIsUnreachable)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
-    // Nobody listens at this address any more: a port of a listener that has been closed.
-    const SocketAddress closed { "127.0.0.1", SharedReading::begun(*ioContext)->port() };
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
+    // The port of a closed listener.
+    const SocketAddress closed { "127.0.0.1", ReaderAndFollower::startedStore(*ioContext)->port() };
     shared.setReader(closed);
-    shared.putNewerIntoOwnStore("b", "2");
+    shared.putNewerIntoFollowerStore("b", "2");
     CHECK(runUntil([&] { return shared.follower.rows["b"] == "2"; }));
 }
 
@@ -319,34 +324,34 @@
     STRCMP_EQUAL("10.0.0.1:7200", second.choosePeer()->address.text().c_str());
 }
 
-TEST(PlatformStore, AVmThatStartsAgainReadsTheTableAndWritesNothing)
+TEST(PlatformStore, ARestartedVmReadsTheTableAndWritesNothing)
 {
     const SocketAddress address { "127.0.0.1", store->port() };
     const VmEntry self { "vm1", "a", { "10.0.0.1", 7200 }, 100 };
-    const auto start = [&](const VmEntry& vm, std::size_t& told) {
+    const auto start = [&](const VmEntry& vm, std::size_t& notifiedCount) {
         return std::make_unique<VmRegistry>(
             *ioContext, address, vm, std::vector<VmEntry> {},
-            [&told](const std::vector<VmEntry>& others) { told = others.size() + 1; }, FleetStart::Earlier);
+            [&notifiedCount](const std::vector<VmEntry>& others) { notifiedCount = others.size() + 1; },
+            FleetStart::Earlier);
     };
-    std::size_t told = 0;
-    auto first = start(self, told);
+    std::size_t notifiedCount = 0;
+    auto first = start(self, notifiedCount);
     CHECK(runUntil([&] { return store->value("vms", "vm1").has_value(); }));
-    LONGS_EQUAL_TEXT(2, store->callCount(), "a VM that is not in the table enters itself");
+    LONGS_EQUAL_TEXT(2, store->callCount(), "a VM that is not in the table should read it and add itself");
     first.reset();
     const auto calls = store->callCount();
-    const auto again = start(self, told = 0);
-    CHECK(runUntil([&] { return told == 1; }));
+    const auto again = start(self, notifiedCount = 0);
+    CHECK(runUntil([&] { return notifiedCount == 1; }));
     LONGS_EQUAL(calls + 1, store->callCount());
-    // It comes back at another address.
-    const auto moved = start({ "vm1", "a", { "10.0.0.9", 7200 }, 100 }, told = 0);
+    // The VM restarts with another address.
+    const auto moved = start({ "vm1", "a", { "10.0.0.9", 7200 }, 100 }, notifiedCount = 0);
     CHECK(runUntil([&] { return store->value("vms", "vm1")->find("10.0.0.9") != std::string::npos; }));
 }
 
-// Thirty VMs that were new to the table started at the same moment. Each read the table before any of them was in it,
-// and took itself for the only one until it read it again 30 s later; an endpoint that takes 2.3 requests a second from
-// all VMs got 34 in four seconds (18 are allowed), because each VM counted for it alone. What settled it:
-//     vm0 vms.read others=0 ... 30 s later: vms.read others=29
-TEST(PlatformStore, NewcomersThatStartTogetherKnowEachOtherSoon)
+// Thirty VMs that were new to the table started at the same moment. Each read the table before any of them was in it
+// and assumed that it was alone until its next read 30 s later. An endpoint that accepts 2.3 requests per second from
+// all VMs got 34 in four seconds (18 are allowed), because each VM used the whole limit.
+TEST(PlatformStore, NewVmsThatStartTogetherFindEachOtherSoon)
 {
     const SocketAddress address { "127.0.0.1", store->port() };
     std::array<std::size_t, 2> known { 0, 0 };
@@ -361,30 +366,30 @@
     CHECK(runUntil([&] { return known[0] == 2 && known[1] == 2; }));
 }
 
-TEST(PlatformStore, AFeedWaitsForTheReadersOfItsZoneAfterItsFirstReading)
+TEST(PlatformStore, AFeedWaitsForItsZoneReadersAfterItsFirstRead)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
-    Followed starting;
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
+    RecordingFeed starting;
     ZoneReaders readers(starting.clock, { "vm6", "a", {} });
     store->put("servers", "a", "1");
     starting.follow(*ioContext, store->port(), "servers", Milliseconds { 60000 });
-    starting.feed->follow(readers, SharedReading::sharing);
+    starting.feed->follow(readers, ReaderAndFollower::sharing);
     CHECK(runUntil([&] { return starting.rows["a"] == "1"; }));
     LONGS_EQUAL(1, store->callCount());
     readers.setOthers({ { "vm1", "a", { "127.0.0.1", shared.feeds.port() } }, { "vm2", "a", {} }, { "vm3", "a", {} },
         { "vm4", "a", {} }, { "vm5", "a", {} } });
-    starting.feed->readersKnown();
-    while (shared.readersStore->version() < store->version())
-        shared.readersStore->put("op", "config", "1");
-    shared.readersStore->put("servers", "b", "2");
+    starting.feed->noteReadersKnown();
+    while (shared.readerStore->version() < store->version())
+        shared.readerStore->put("op", "config", "1");
+    shared.readerStore->put("servers", "b", "2");
     CHECK(runUntil([&] { return starting.rows["b"] == "2"; }));
-    LONGS_EQUAL_TEXT(1, store->callCount(), "it went on at the reader");
+    LONGS_EQUAL_TEXT(1, store->callCount(), "after its first read the feed should poll the reader");
 }
 
-TEST(PlatformStore, AVmOfALargeZoneHearsOfOthersFromTheReader)
+TEST(PlatformStore, AVmOfALargeZoneGetsTheVmListFromTheReader)
 {
-    SharedReading shared(*ioContext);
+    ReaderAndFollower shared(*ioContext);
     shared.feeds.tell(VmRegistry::peerPath, [&shared](const std::string&) { return shared.vms.text(); });
     const SocketAddress address { "127.0.0.1", store->port() };
     CHECK(runUntil([&] { return shared.vms.text().has_value(); }));
@@ -393,8 +398,8 @@
         [&count](const std::vector<VmEntry>& others) { count = others.size() + 1; });
     vms.shareThrough(shared.readers);
     CHECK(runUntil([&] { return count > 0; }));
-    LONGS_EQUAL_TEXT(2, count, "the reader's table names vm1 only");
-    LONGS_EQUAL_TEXT(1, store->callCount(), "the VM enters itself, and does not read the table at the store");
+    LONGS_EQUAL_TEXT(2, count, "the reader's table contains vm1 only");
+    LONGS_EQUAL_TEXT(1, store->callCount(), "the VM should add itself without reading the table from the store");
 }
 
 TEST(PlatformStore, ALocationIsFoundByAnotherVmUntilTheRunHasEnded)
@@ -423,7 +428,7 @@
     CHECK_FALSE(store->value("runs", "p1").has_value());
 }
 
-TEST(PlatformStore, NotesThatTheStoreRefusedAreWrittenOnceItIsBack)
+TEST(PlatformStore, RejectedNotesAreWrittenAfterTheStoreRecovers)
 {
     store->setFault(StoreFault::Unavailable);
     StoreRunLocations writer(*ioContext, { "127.0.0.1", store->port() });
@@ -434,7 +439,7 @@
     CHECK(runUntil([&] { return store->value("runs", "p1").has_value(); }));
 }
 
-TEST(PlatformStore, ANoteDoesNotGiveUpTheWriteThatIsUnderWay)
+TEST(PlatformStore, ANoteDoesNotCancelTheWriteInFlight)
 {
     store->setFault(StoreFault::Silent);
     StoreRunLocations writer(*ioContext, { "127.0.0.1", store->port() });
@@ -449,31 +454,31 @@
 
 TEST(PlatformStore, AVmOfALargeZoneHasItsNotesWrittenByTheReader)
 {
-    SharedReading shared(*ioContext);
-    auto& target = *shared.readersStore;
+    ReaderAndFollower shared(*ioContext);
+    auto& target = *shared.readerStore;
     StoreRunLocations readersLocations(*ioContext, { "127.0.0.1", target.port() });
     shared.feeds.take(
         StoreRunLocations::peerPath, [&](const std::string& body) { return readersLocations.takeFromPeer(body); });
-    StoreRunLocations locations(*ioContext, { "127.0.0.1", shared.ownStore->port() });
+    StoreRunLocations locations(*ioContext, { "127.0.0.1", shared.followerStore->port() });
     locations.shareThrough(shared.readers);
     locations.note("p1", { "e1", "e2", "r1" });
     CHECK(runUntil([&] { return target.value("runs", "p1").has_value(); }));
     locations.forget("p1");
     locations.note("p2", { "e1", "", "r2" });
     CHECK(runUntil([&] { return target.value("runs", "p2").has_value() && !target.value("runs", "p1").has_value(); }));
-    CHECK_FALSE_TEXT(shared.ownStore->value("runs", "p1").has_value(), "the VM itself should not have written");
+    CHECK_FALSE_TEXT(shared.followerStore->value("runs", "p1").has_value(), "the VM itself should not have written");
 }
 
-TEST(PlatformStore, NotesThatTheReaderDoesNotTakeAreWrittenByTheVmItself)
+TEST(PlatformStore, NotesRejectedByTheReaderAreWrittenByTheVmItself)
 {
-    SharedReading shared(*ioContext);
-    StoreRunLocations locations(*ioContext, { "127.0.0.1", shared.ownStore->port() });
+    ReaderAndFollower shared(*ioContext);
+    StoreRunLocations locations(*ioContext, { "127.0.0.1", shared.followerStore->port() });
     locations.shareThrough(shared.readers);
     locations.note("p1", { "e1", "e2", "r1" });
-    CHECK(runUntil([&] { return shared.ownStore->value("runs", "p1").has_value(); }));
+    CHECK(runUntil([&] { return shared.followerStore->value("runs", "p1").has_value(); }));
 }
 
-TEST(PlatformStore, NotesOfAnotherVmThatCannotBeReadAreRefused)
+TEST(PlatformStore, InvalidNotesOfAnotherVmAreRejected)
 {
     StoreRunLocations locations(*ioContext, { "127.0.0.1", store->port() });
     for (const auto* const text : { "", "[]", "{}", "{\"noted\":[],\"forgotten\":[]}", "{\"noted\":{}}" })
@@ -481,7 +486,7 @@
     CHECK(locations.takeFromPeer("{\"noted\":{\"p1\":7},\"forgotten\":[3]}"));
 }
 
-TEST(PlatformStore, ALookupThatFailsAnswersThatNothingIsKnown)
+TEST(PlatformStore, AFailedLookupReportsNoLocation)
 {
     StoreRunLocations reader(*ioContext, { "127.0.0.1", store->port() });
     for (const auto fault : { StoreFault::Unavailable, StoreFault::Silent, StoreFault::None }) {
--- a/test/StoreHistoryTest.cpp
+++ b/test/StoreHistoryTest.cpp
@@ -10,14 +10,11 @@
 using namespace lupinknot::internal;
 using namespace lupinknot::platform;
 
-// The platform's store was away for 2.5 s and came back from an older copy. Its versions went back and were given out
-// again, and each VM dropped what had a smaller version than the row that it knew: a revoked key stayed in force, and
-// endpoints that had said that they leave got requests, until the store's counter had passed the old versions. Logs of
-// all VMs showed it: store.history-gone and a table read whole at 18.5 s, then
-//     21.81 endpoints.applied list_version 48
-//     26.02 config.applied config_version 36, previous_version 21
-// although configurations 24, 27, 31 and 33 had been acknowledged between 21.8 and 24.5 s. The row of configuration 21
-// had a version that the store reached again only after 24.5 s.
+// The platform's store was unavailable for 2.5 s and was then restored from an older copy. It reused versions, and each
+// VM dropped rows whose version was lower than that of the row it knew. Until the store's version had passed the old
+// ones, a revoked key stayed in force and endpoints that were shutting down got requests. Configurations 24, 27, 31 and
+// 33, acknowledged between 21.8 and 24.5 s, were skipped: configuration 36 replaced 21 at 26.02 s, because the row of
+// configuration 21 had a version that the store reached again only after 24.5 s.
 TEST_GROUP(StoreHistory)
 {
     std::unique_ptr<boost::asio::io_context> ioContext;
@@ -39,67 +36,69 @@
     bool runUntil(const std::function<bool()>& condition) { return internal::runUntil(*ioContext, condition); }
 };
 
-TEST(StoreHistory, WhatIsWrittenAfterTheStoreHasGoneBackIsInForceAlthoughItsVersionIsSmaller)
+TEST(StoreHistory, ARowWrittenAfterARestoreIsAppliedDespiteItsLowerVersion)
 {
     for (const auto* const table : { "op", "servers" }) {
         store->put(table, "a", "1");
         store->keepCopy();
-        // The system's own rows raise the counter, too.
+        // Rows that other parts of the system write raise the store's version too.
         for (int i = 0; i < 20; ++i)
             store->put("runs", "r" + std::to_string(i), "");
         store->put(table, "a", "2");
-        Followed followed;
+        RecordingFeed followed;
         followed.follow(*ioContext, store->port(), table);
         CHECK(runUntil([&] { return followed.rows["a"] == "2"; }));
         store->restoreCopy();
-        CHECK_TEXT(runUntil([&] { return followed.snapshots == 2; }), "410 should have the table read whole");
+        CHECK_TEXT(
+            runUntil([&] { return followed.snapshots == 2; }), "status 410 should cause a complete read of the table");
         store->put(table, "a", "3");
         CHECK_TEXT(runUntil([&] { return followed.rows["a"] == "3"; }), "the newest row should be in force");
     }
 }
 
-// No 410 tells of it: by the time of the next question the store has given out more versions than were known before.
-TEST(StoreHistory, AFeedReadsTheTableAnewWhenTheStoreHasOvertakenItSinceItWentBack)
+// The store does not respond with 410, because it has issued more versions by the next call than the feed knew before
+// the restore.
+TEST(StoreHistory, AFeedReadsTheTableAgainWhenARestoredStoreHasPassedItsVersion)
 {
     store->put("servers", "a", "1");
     store->keepCopy();
     store->put("servers", "b", "1");
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "servers");
     CHECK(runUntil([&] { return followed.rows.size() == 2; }));
     store->restoreCopy();
     store->put("servers", "c", "1");
     for (int i = 0; i < 20; ++i)
         store->put("runs", "r" + std::to_string(i), "");
-    CHECK_TEXT(
-        runUntil([&] { return followed.rows.count("c") == 1; }), "c was written under a version given out again");
+    CHECK_TEXT(runUntil([&] { return followed.rows.count("c") == 1; }), "the version of row c is a reused one");
 }
 
-// Each call to the store has a price, and all VMs hear of a return at once.
-TEST(StoreHistory, AFeedThatHearsOfAReturnItselfReadsTheTableOnce)
+// Calls to the store are billed, and all VMs learn of a restore at once.
+TEST(StoreHistory, AFeedThatDetectsARestoreReadsTheTableOnce)
 {
     store->put("servers", "a", "1");
     store->keepCopy();
     store->put("servers", "b", "1");
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "servers", Milliseconds { 60000 });
     CHECK(runUntil([&] { return store->callCount() == 2; }));
     store->restoreCopy();
     CHECK(runUntil([&] { return followed.snapshots == 2; }));
-    LONGS_EQUAL_TEXT(4, store->callCount(), "the one that was cut off, the next one, which gets 410, and the table");
+    LONGS_EQUAL_TEXT(
+        4, store->callCount(), "the first read and the poll, then the poll that gets 410 and the second read");
 }
 
-TEST(StoreHistory, AVmThatKnowsNothingNamesNoEra)
+TEST(StoreHistory, AVmThatKnowsNothingSendsNoEra)
 {
     STRCMP_EQUAL("/rows/op/0/50", PeerFeeds::target("op", {}, Milliseconds { 50 }).c_str());
     STRCMP_EQUAL("/rows/op/7/50?era=2", PeerFeeds::target("op", { 2, 7 }, Milliseconds { 50 }).c_str());
 }
 
-TEST(StoreHistory, AnEraThatCannotBeChangesNothing)
+TEST(StoreHistory, AnInvalidEraIsIgnored)
 {
     store->put("servers", "a", "1");
     for (const auto* const odd : { "", "-1", "x", "99999999999999999999999", "5000000" }) {
-        Followed followed;
+        RecordingFeed followed;
         store->sayEra(std::nullopt);
         followed.follow(*ioContext, store->port(), "servers");
         CHECK(runUntil([&] { return followed.snapshots == 1; }));
@@ -112,29 +111,29 @@
     }
 }
 
-TEST(StoreHistory, AVmHearsFromTheReaderOfItsZoneWhatIsWrittenAfterTheStoreHasGoneBack)
+TEST(StoreHistory, AFollowerGetsRowsWrittenAfterARestoreFromItsReader)
 {
-    SharedReading shared(*ioContext);
-    CHECK(runUntil([&] { return shared.haveBothBegun(); }));
-    shared.readersStore->keepCopy();
+    ReaderAndFollower shared(*ioContext);
+    CHECK(runUntil([&] { return shared.haveBothRead(); }));
+    shared.readerStore->keepCopy();
     for (int i = 0; i < 20; ++i)
-        shared.readersStore->put("runs", "r" + std::to_string(i), "");
-    shared.readersStore->put("servers", "a", "2");
+        shared.readerStore->put("runs", "r" + std::to_string(i), "");
+    shared.readerStore->put("servers", "a", "2");
     CHECK(runUntil([&] { return shared.follower.rows["a"] == "2"; }));
-    const auto calls = shared.ownStore->callCount();
-    shared.readersStore->restoreCopy();
-    shared.readersStore->put("servers", "a", "3");
+    const auto calls = shared.followerStore->callCount();
+    shared.readerStore->restoreCopy();
+    shared.readerStore->put("servers", "a", "3");
     CHECK_TEXT(runUntil([&] { return shared.follower.rows["a"] == "3"; }), "the newest row should be in force");
-    LONGS_EQUAL_TEXT(calls, shared.ownStore->callCount(), "its reader tells it");
+    LONGS_EQUAL_TEXT(calls, shared.followerStore->callCount(), "the reader should provide the row");
 }
 
-// Between its pages the store goes back: what the first page holds is of another history than the rest.
-TEST(StoreHistory, ATableThatIsReadInPagesIsOfOneHistory)
+// The store is restored between two pages, so the first page is of another history than the rest.
+TEST(StoreHistory, ARestoreBetweenTwoPagesRestartsTheRead)
 {
     store->keepCopy();
     for (int i = 0; i < 700; ++i)
         store->put("servers", "k" + std::to_string(1000 + i), "1");
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "servers");
     CHECK(runUntil([&] { return store->callCount() == 1; }));
     store->restoreCopy();
@@ -143,8 +142,8 @@
     CHECK(runUntil([&] { return followed.rows.size() == 110; }));
 }
 
-// The copy is some seconds old: it lists as ready who has said since that it leaves.
-TEST(StoreHistory, AnEndpointThatHasSaidThatItLeavesGetsNoWorkThoughAnOlderListNamesItReady)
+// The copy is some seconds old: it lists an endpoint as ready that has announced its shutdown since.
+TEST(StoreHistory, AnEndpointInShutdownGetsNoRequestsThoughAnOlderListSaysReady)
 {
     const RelaySettings settings;
     EndpointDirectory directory(*ioContext, settings);
@@ -153,9 +152,9 @@
     const EndpointEntry staying { "e2", "s", { "127.0.0.1", 2 }, "a", 4, false };
     const Milliseconds now { 100000 };
     directory.replaceAll({ leaving, staying }, now);
-    auto saysSo = leaving;
-    saysSo.isDraining = true;
-    directory.upsert(saysSo, now);
+    auto shuttingDown = leaving;
+    shuttingDown.isDraining = true;
+    directory.upsert(shuttingDown, now);
     directory.replaceAll({ leaving, staying }, now);
     PlacementRequest request;
     request.service = "s";
@@ -163,7 +162,7 @@
         STRCMP_EQUAL("e2", placement.choose(request, now)->entry().id.c_str());
 }
 
-TEST(StoreHistory, AVmWhoseEntryTheStoreHasLostEntersItselfAgain)
+TEST(StoreHistory, AVmWritesItsEntryAgainAfterTheStoreHasLostIt)
 {
     const auto era = StoreEra::create(*ioContext);
     const SocketAddress address { "127.0.0.1", store->port() };
@@ -172,7 +171,7 @@
         *ioContext, address, { "vm1", "a", { "10.0.0.1", 7200 } }, {}, [](const std::vector<VmEntry>&) {},
         FleetStart::Together, era);
     CHECK(runUntil([&] { return store->value("vms", "vm1").has_value(); }));
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "op", Milliseconds { 40 }, era);
     CHECK(runUntil([&] { return followed.snapshots == 1; }));
     store->restoreCopy();
@@ -180,7 +179,7 @@
     CHECK(runUntil([&] { return store->value("vms", "vm1").has_value(); }));
 }
 
-TEST(StoreHistory, TheLocationOfAStreamThatRunsIsWrittenAgainAfterTheStoreHasLostIt)
+TEST(StoreHistory, TheLocationOfARunningStreamIsWrittenAgainAfterARestore)
 {
     const auto era = StoreEra::create(*ioContext);
     store->keepCopy();
@@ -190,17 +189,18 @@
     locations.note("dead", { "i-1", "", "r2" });
     CHECK(runUntil([&] { return store->value("runs", "beef") && store->value("runs", "dead"); }));
     locations.forget("dead");
-    Followed followed;
+    RecordingFeed followed;
     followed.follow(*ioContext, store->port(), "op", Milliseconds { 40 }, era);
     CHECK(runUntil([&] { return followed.snapshots == 1; }));
     store->restoreCopy();
     CHECK(runUntil([&] { return store->value("runs", "beef").has_value(); }));
-    CHECK_FALSE_TEXT(store->value("runs", "dead").has_value(), "its stream has ended");
+    CHECK_FALSE_TEXT(
+        store->value("runs", "dead").has_value(), "the location of a finished stream should not be written");
 }
 
 namespace {
 
-// Endpoints on both sides of a return of the list's source from an older copy.
+// An endpoint directory before and after a restore of the store from an older copy.
 struct RestoredList {
     explicit RestoredList(boost::asio::io_context& ioContext)
         : directory(ioContext, settings)
@@ -239,24 +239,24 @@
 
 } // namespace
 
-TEST(StoreHistory, AnEndpointThatHasComeSinceTheCopyStaysUntilItHasHadTimeToWriteAgain)
+TEST(StoreHistory, AnEndpointNewerThanTheCopyStaysUntilItHasHadTimeToWriteAgain)
 {
     RestoredList list(*ioContext);
     list.restore({ RestoredList::entry(1) });
     CHECK(list.isListed(2));
     list.directory.upsert(RestoredList::entry(2), list.now);
     list.pass(list.settings.missingEndpointsStay);
-    CHECK_TEXT(list.isListed(2), "it has written its entry again");
+    CHECK_TEXT(list.isListed(2), "e2 has written its entry again");
 
     list.restore({ RestoredList::entry(1) });
     list.pass(list.settings.missingEndpointsStay - Milliseconds { 1 });
     CHECK(list.isListed(2));
     list.pass(Milliseconds { 1 });
-    CHECK_FALSE_TEXT(list.isListed(2), "it may have left");
+    CHECK_FALSE_TEXT(list.isListed(2), "e2 has had time to write its entry again and did not");
 }
 
-// The store was away again before the endpoint's next write: the endpoint was taken for gone although it lived.
-TEST(StoreHistory, AnEndpointThatTheListLacksStaysWhileTheStoreIsAwayAgain)
+// The store was unreachable again before the endpoint's next write, and the live endpoint was treated as gone.
+TEST(StoreHistory, AnEndpointMissingInTheListStaysWhileTheStoreIsUnreachable)
 {
     RestoredList list(*ioContext);
     list.restore({ RestoredList::entry(1) });
@@ -265,7 +265,7 @@
     CHECK(list.isListed(2));
 }
 
-TEST(StoreHistory, AnEndpointThatHasGoneSinceTheCopyDoesNotComeBackBeforeItsEntryCouldHaveLapsed)
+TEST(StoreHistory, AnEndpointRemovedSinceTheCopyStaysRemovedUntilItsEntryCouldHaveExpired)
 {
     RestoredList list(*ioContext);
     list.directory.remove("e2", list.now);
@@ -273,16 +273,16 @@
     CHECK_FALSE(list.isListed(2));
     list.directory.change({ { { .id = "e2" }, true } }, list.now);
     list.pass(list.settings.goneEndpointsStay);
-    CHECK_FALSE_TEXT(list.isListed(2), "its entry has lapsed");
+    CHECK_FALSE_TEXT(list.isListed(2), "the entry of e2 has expired");
 
     list.restore({ RestoredList::entry(1), RestoredList::entry(2) });
     list.pass(list.settings.goneEndpointsStay);
-    CHECK_TEXT(list.isListed(2), "its entry is still there: it lives");
+    CHECK_TEXT(list.isListed(2), "the entry of e2 has not expired, so e2 is alive");
 }
 
-// Found by the interleavings: the removal was heard first, the older list told that the endpoint had said that it
-// leaves, and it stayed a last resort.
-TEST(StoreHistory, AnEndpointThatHasGoneIsNoLastResortOnceAnOlderListTellsThatItLeft)
+// The endpoint's removal was seen first. An older list then said that the endpoint was shutting down, which made it a
+// last resort for requests.
+TEST(StoreHistory, ARemovedEndpointIsNoLastResortWhenAnOlderListSaysDraining)
 {
     RestoredList list(*ioContext);
     list.directory.remove("e2", list.now);
@@ -292,7 +292,7 @@
     CHECK_FALSE(list.directory.find("e2")->mayTakeWork(list.now, list.settings.leavingEndpointGrace));
 }
 
-TEST(StoreHistory, AnEndpointThatLeftSinceTheCopyGetsNoWorkWhenItsEntryIsStillThereAfterAll)
+TEST(StoreHistory, ADrainedEndpointGetsNoRequestsWhenItsRestoredEntryDoesNotExpire)
 {
     RestoredList list(*ioContext);
     auto leaving = RestoredList::entry(2);
