--- a/test/PeerPermitsTest.cpp
+++ b/test/PeerPermitsTest.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// A VM with its address for other VMs.
+// A VM with an address at which other VMs call it.
 struct AskingVm {
     AskingVm(boost::asio::io_context& ioContext, const Clock& clock, const std::string& name, std::int64_t storePort)
         : registry(ioContext, { "127.0.0.1", storePort }, { name, "a", {} }, {}, [](const auto&) {})
@@ -69,7 +69,7 @@
         }
     }
 
-    // The number of the VM that counts for the endpoint, and of the one that follows it.
+    // The indexes of the endpoint's limit keepers, by rank.
     std::vector<std::size_t> keepersOf(const std::string& endpoint) const
     {
         std::vector<KeeperCandidate> candidates;
@@ -87,7 +87,7 @@
         return *got;
     }
 
-    // All VMs ask in turn for so long, one of them nine times as often; how many permits they got.
+    // All VMs ask in turn until the time is over; VM 1 sends nine of ten requests. Returns the number of permits.
     int grantedWithin(Milliseconds time, double perSecond)
     {
         int granted = 0;
@@ -98,7 +98,7 @@
     }
 };
 
-// Each VM that keeps an endpoint's limit for itself sends it the whole of it.
+// If each VM counted an endpoint's limit for itself, each would send the endpoint requests up to the whole limit.
 TEST(PeerPermits, AllVmsTogetherGetNoMoreThanTheEndpointTakes)
 {
     addVms(7);
@@ -142,7 +142,7 @@
     addVms(4);
     ask(0, 1);
     CHECK_FALSE(ask(1, 1).isGranted);
-    // An answer without a limit comes some time after the last one with it.
+    // Ensures that the report without a limit is newer than the last one with a limit.
     const auto later = clock.now() + Milliseconds { 5 };
     CHECK(runUntil(*ioContext, [&] { return clock.now() > later; }));
     vms[2]->permits->tell("e1", { std::nullopt, Milliseconds { 0 } });
--- a/test/PeerRolloutsTest.cpp
+++ b/test/PeerRolloutsTest.cpp
@@ -58,7 +58,7 @@
 
     std::string status() { return store->value("status", "rollout/s").value_or("none"); }
 
-    // An account of another process with so many bad answers of the candidate.
+    // A report of another process with the given counts of the candidate's answers.
     static std::string account(unsigned candidateAnswers, unsigned candidateBad, std::uint64_t revision = orderRevision)
     {
         return R"({"service":"s","process":"vm2/1","stopped":false,"revision":)" + std::to_string(revision)
@@ -66,7 +66,7 @@
             + std::to_string(candidateBad) + "]}}}";
     }
 
-    // The store has come back from its copy, and this VM has heard of it.
+    // Restores the store from its copy, and tells this VM about it.
     void restoreStore()
     {
         store->restoreCopy();
@@ -75,7 +75,7 @@
         rollouts->storeRestored();
     }
 
-    // Versions of the store grow beyond the order's.
+    // Advances the store's version beyond the order's.
     void advanceStore()
     {
         while (store->version() <= orderRevision)
@@ -100,7 +100,7 @@
     const auto told = rollouts->takeAccount(account(20, 12));
     CHECK(told && told->find("stop") != std::string::npos);
     CHECK(runUntil([&] { return rollout().decision() == RolloutDecision::RolledBack; }));
-    CHECK_TEXT(rollout().isStopped(), "its own requests stop as well");
+    CHECK_TEXT(rollout().isStopped(), "the VM stops its own requests to the candidate as well");
 }
 
 TEST(PeerRollouts, CompletesACandidateThatOtherVmsFoundGood)
@@ -119,7 +119,7 @@
     begin();
     rollouts->takeAccount(account(20, 12));
     CHECK(runUntil([&] { return rollout().decision() != RolloutDecision::Undecided; }));
-    CHECK_TEXT(rollout().decision() == RolloutDecision::Completed, "a decision that is written never turns");
+    CHECK_TEXT(rollout().decision() == RolloutDecision::Completed, "a decision that is in the store must not change");
 }
 
 TEST(PeerRollouts, TheRecordOfAnEarlierOrderIsNoDecision)
@@ -141,7 +141,8 @@
     for (const auto* text : { "", "7", "{}", R"({"service":"s","revision":3,"process":1,"routes":{}})",
              R"({"service":"s","revision":3,"process":"p","routes":{"r":{"present":[1],"candidate":[1,1]}}})" })
         CHECK_FALSE(rollouts->takeAccount(text).has_value());
-    CHECK_FALSE_TEXT(rollouts->takeAccount(account(1, 1, 99)).has_value(), "an account of another order");
+    CHECK_FALSE_TEXT(
+        rollouts->takeAccount(account(1, 1, 99)).has_value(), "a report about another order must be refused");
 }
 
 TEST(PeerRollouts, AnOrderThatIsGoneTellsVersionsApartNoMore)
@@ -151,8 +152,8 @@
     CHECK(daemon->rollouts().all().empty());
 }
 
-// The store came back from a copy without the order and without its record. To begin anew would send the bad candidate
-// its share of the requests once more.
+// The store is restored from a copy that has neither the order nor its record. Starting the rollout over would send the
+// bad candidate its share of the requests once more.
 TEST(PeerRollouts, WhatWasDecidedOfAnOrderHoldsAndIsWrittenAgainWhenTheStoreHasLostBoth)
 {
     advanceStore();
@@ -162,10 +163,10 @@
     CHECK(runUntil([&] { return rollout().decision() == RolloutDecision::RolledBack; }));
     restoreStore();
     rollouts->takeTable({});
-    CHECK_TEXT(rollout().decision() == RolloutDecision::RolledBack, "the order that the copy lacks is in force");
+    CHECK_TEXT(rollout().decision() == RolloutDecision::RolledBack, "an order that the copy lacks stays in effect");
     rollouts->takeRow({ "rollout/s", orderText, false, 2, 1 });
     CHECK(rollout().decision() == RolloutDecision::RolledBack);
-    LONGS_EQUAL_TEXT(1, rollout().order().era, "it is the same order, at its new place");
+    LONGS_EQUAL_TEXT(1, rollout().order().era, "the same order must get its new position");
     CHECK(runUntil([&] { return status().find("rolled_back") != std::string::npos; }));
 }
 
@@ -178,11 +179,11 @@
     restoreStore();
     rollouts->takeTable({ { "rollout/s", orderText, false, 2, 1 } });
     rollouts->takeRow({ "rollout/s", orderText, false, 5, 1 });
-    CHECK_TEXT(rollout().isStopped(), "in the copy, and written once more behind it");
+    CHECK_TEXT(rollout().isStopped(), "an order that is in the copy and is written once more must stay stopped");
     LONGS_EQUAL(5, rollout().order().revision);
 }
 
-// The revision of the earlier order was given out again.
+// After the restore the store assigns the earlier order's revision to another order.
 TEST(PeerRollouts, AnotherOrderUnderTheSameRevisionOfALaterEraIsAnotherOrder)
 {
     begin();
@@ -202,11 +203,12 @@
     restoreStore();
     rollouts->takeTable({ { "rollout/s", R"({"service":"s","target-version":"v1","duration-s":1.5})", false, 1, 1 },
         { "rollout/t", R"({"service":"t","target-version":"v2","duration-s":1.5})", false, 2, 1 } });
-    STRCMP_EQUAL_TEXT("v2", rollout().order().candidate.c_str(), "the copy is older than the order that is known");
-    CHECK_TEXT(!daemon->rollouts().find("t"), "the order has gone since the copy");
+    STRCMP_EQUAL_TEXT(
+        "v2", rollout().order().candidate.c_str(), "an older order in the copy must not replace the known one");
+    CHECK_TEXT(!daemon->rollouts().find("t"), "an order that was removed after the copy was made must not start again");
 }
 
-// Two VMs: one gathers, the other tells it what it has seen and takes its word.
+// One VM aggregates; the other reports its counts to it and follows its directives.
 TEST(PeerRollouts, AVmTellsTheGathererOfItsZoneAndHearsTheDecision)
 {
     advanceStore();
--- a/test/PeerRunLocationsTest.cpp
+++ b/test/PeerRunLocationsTest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// A VM with its address for other VMs, and a store that does not answer it.
+// A VM with an address at which other VMs call it. The store does not answer unless a test changes that.
 struct TellingVm {
     TellingVm(boost::asio::io_context& ioContext, const std::string& name, std::int64_t storePort)
         : registry(ioContext, { "127.0.0.1", storePort }, { name, "a", {} }, {}, [](const auto&) {})
@@ -38,7 +38,7 @@
     std::unique_ptr<PeerRunLocations> locations;
 };
 
-// A store that knows nothing and counts its questions.
+// A store without any locations that counts its searches.
 class CountingLocations final : public RunLocations {
 public:
     void note(const std::string&, const RunLocation&) override { }
@@ -91,15 +91,15 @@
 
     bool runUntil(const std::function<bool()>& condition) { return internal::runUntil(*ioContext, condition); }
 
-    // How many VMs beside the first keep the prompt's location.
+    // The number of VMs other than the first one that store the prompt's location.
     std::size_t keptElsewhere(const std::string& promptId) const
     {
         return static_cast<std::size_t>(std::count_if(vms.begin() + 1, vms.end(),
             [&](const std::unique_ptr<TellingVm>& vm) { return vm->locations->tell(promptId).has_value(); }));
     }
 
-    // A VM beside six others, some of which know the run of prompt 91bd. Addresses, and so the VMs that keep it, differ
-    // from run to run: of the three one may be the first VM and one the asking one.
+    // A VM that asks six others, some of which know the run of prompt 91bd. Addresses, and so the three location
+    // keepers, differ between executions of the test. The keepers may include the first VM and the asking one.
     struct AskingVm {
         template <typename Group>
         explicit AskingVm(Group& group)
@@ -141,7 +141,7 @@
         vm.locations->find(promptId, [&found](const std::optional<RunLocation>& location) {
             found = location ? location->endpointId + " " + location->copyHolderId + " " + location->requestId : "none";
         });
-        CHECK_TEXT(runUntil([&] { return !found.empty(); }), "a search has to end");
+        CHECK_TEXT(runUntil([&] { return !found.empty(); }), "a search must end");
         return found;
     }
 };
@@ -172,9 +172,9 @@
     AskingVm asking(*this);
     asking.clock.advance(Milliseconds { 10001 });
     STRCMP_EQUAL("e1", asking.find("91bd").c_str());
-    LONGS_EQUAL_TEXT(0, asking.store.finds, "a VM knew the run");
+    LONGS_EQUAL_TEXT(0, asking.store.finds, "the store must not be asked if a VM knows the run");
     STRCMP_EQUAL("none", asking.find("77aa").c_str());
-    LONGS_EQUAL_TEXT(1, asking.store.finds, "nobody knew the run");
+    LONGS_EQUAL_TEXT(1, asking.store.finds, "the store must be asked once if no VM knows the run");
 }
 
 TEST(PeerRunLocations, AVmThatHasJustStartedAsksTheStoreAtOnce)
--- a/test/ZoneReadersTest.cpp
+++ b/test/ZoneReadersTest.cpp
@@ -12,7 +12,7 @@
 {
     ManualClock clock;
 
-    // Five VMs of zone a beside the own one, and a fast one of another zone.
+    // Five VMs of zone a in addition to the tested one, and a fast one of another zone.
     static std::vector<VmEntry> others()
     {
         return { { "b1", "b", {}, 1000 }, { "a1", "a", {}, 10 }, { "a2", "a", {}, 200 }, { "a3", "a", {}, 200 },
@@ -37,7 +37,7 @@
 TEST(ZoneReaders, AZoneOfFewVmsHasNoReader)
 {
     ZoneReaders readers(clock, { "b9", "b", {}, 10 });
-    CHECK_FALSE_TEXT(readers.current().has_value(), "before the VMs are known, each reads the store itself");
+    CHECK_FALSE_TEXT(readers.current().has_value(), "a VM must read the store itself before it knows the other VMs");
     readers.setOthers(others());
     CHECK_FALSE(readers.current().has_value());
 }
@@ -47,7 +47,8 @@
     ZoneReaders readers(clock, { "a9", "a", {}, 10 });
     readers.setOthers(others());
     readers.avoid("a2");
-    CHECK_FALSE_TEXT(readers.current().has_value(), "right after a failure a VM reads the store itself");
+    CHECK_FALSE_TEXT(
+        readers.current().has_value(), "a VM must read the store itself right after a failure of its reader");
     clock.advance(Milliseconds { 2000 });
     STRCMP_EQUAL("a3", readers.current()->name.c_str());
     clock.advance(Milliseconds { 5000 });
@@ -66,8 +67,7 @@
     STRCMP_EQUAL("a2", readers.current()->name.c_str());
 }
 
-// Replay of a store that answers nobody, in a zone of 59 VMs that each find one reader after the other to have old
-// news.
+// The store answers no VM, in a zone of 59 VMs. Each VM finds that one reader after the other has stale data.
 TEST(ZoneReaders, OnlyTheFirstFewAskAStoreThatAnswersNobody)
 {
     constexpr int vmCount = 59;
@@ -91,7 +91,7 @@
         }
         askTheStore += asksTheStore ? 1 : 0;
     }
-    CHECK_TEXT(askTheStore <= 5, "a store that cannot answer must not be asked by the whole zone");
+    CHECK_TEXT(askTheStore <= 5, "a failing store must be asked by at most five VMs of the zone");
 }
 
 TEST(ZoneReaders, TheNextByRankReadsTheStoreWhenItFindsTheFirstFailed)
@@ -104,7 +104,7 @@
     STRCMP_EQUAL("a2", readers.current()->name.c_str());
     readers.avoid("a2");
     clock.advance(Milliseconds { 2000 });
-    CHECK_FALSE_TEXT(readers.current().has_value(), "a3 is the first by rank now and reads the store");
+    CHECK_FALSE_TEXT(readers.current().has_value(), "a3 is the first by rank now and must read the store");
 }
 
 TEST(ZoneReaders, AReaderThatTheStoreTurnsAwayFollowsTheNextByRank)
@@ -114,5 +114,6 @@
     readers.avoidSelf();
     STRCMP_EQUAL("a2", readers.current()->name.c_str());
     clock.advance(Milliseconds { 7000 });
-    CHECK_FALSE_TEXT(readers.current().has_value(), "the first by rank is to be found again once the store answers");
+    CHECK_FALSE_TEXT(
+        readers.current().has_value(), "the first by rank must be the reader again once the skip time is over");
 }
