--- a/test/PeerPermitsTest.cpp
+++ b/test/PeerPermitsTest.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 // A VM with an address at which other VMs call it.
-struct AskingVm {
-    AskingVm(boost::asio::io_context& ioContext, const Clock& clock, const std::string& name, std::int64_t storePort)
+struct TestVm {
+    TestVm(boost::asio::io_context& ioContext, const Clock& clock, const std::string& name, std::int64_t storePort)
         : registry(ioContext, { "127.0.0.1", storePort }, { name, "a", {} }, {}, [](const auto&) {})
         , feeds(std::make_unique<PeerFeeds>(ioContext, SocketAddress { "127.0.0.1", 0 }, registry))
     {
@@ -40,7 +40,7 @@
     std::unique_ptr<boost::asio::io_context> ioContext;
     std::unique_ptr<StoreStandIn> store;
     MonotonicClock clock;
-    std::vector<std::unique_ptr<AskingVm>> vms;
+    std::vector<std::unique_ptr<TestVm>> vms;
 
     void setup() override
     {
@@ -59,7 +59,7 @@
     void addVms(int count)
     {
         for (int i = 0; i < count; ++i)
-            vms.push_back(std::make_unique<AskingVm>(*ioContext, clock, "vm" + std::to_string(i), store->port()));
+            vms.push_back(std::make_unique<TestVm>(*ioContext, clock, "vm" + std::to_string(i), store->port()));
         std::vector<VmEntry> all;
         for (const auto& vm : vms)
             all.push_back(vm->entry);
@@ -88,7 +88,7 @@
     }
 
     // All VMs ask in turn until the time is over; VM 1 sends nine of ten requests. Returns the number of permits.
-    int grantedWithin(Milliseconds time, double perSecond)
+    int permitsGrantedWithin(Milliseconds time, double perSecond)
     {
         int granted = 0;
         const auto end = clock.now() + time;
@@ -99,14 +99,14 @@
 };
 
 // If each VM counted an endpoint's limit for itself, each would send the endpoint requests up to the whole limit.
-TEST(PeerPermits, AllVmsTogetherGetNoMoreThanTheEndpointTakes)
+TEST(PeerPermits, AllVmsTogetherStayWithinTheEndpointLimit)
 {
     addVms(7);
-    const auto granted = grantedWithin(Milliseconds { 2000 }, 5);
+    const auto granted = permitsGrantedWithin(Milliseconds { 2000 }, 5);
     CHECK_TEXT(granted >= 9 && granted <= 12, std::to_string(granted).c_str());
 }
 
-TEST(PeerPermits, AnotherVmCountsForLessWhenTheFirstDoesNotAnswer)
+TEST(PeerPermits, SubstituteKeeperIssuesLessWhenTheFirstKeeperDoesNotAnswer)
 {
     addVms(7);
     const auto keepers = keepersOf("e1");
@@ -121,23 +121,23 @@
     CHECK_TEXT(granted >= 3 && granted <= 7, std::to_string(granted).c_str());
 }
 
-TEST(PeerPermits, AVmThatReachesNoOtherKeepsToItsPart)
+TEST(PeerPermits, VmThatReachesNoKeeperStaysWithinItsPart)
 {
     addVms(5);
     const auto keepers = keepersOf("e1");
-    std::size_t alone = 0;
-    while (std::find(keepers.begin(), keepers.end(), alone) != keepers.end())
-        ++alone;
+    std::size_t isolated = 0;
+    while (std::find(keepers.begin(), keepers.end(), isolated) != keepers.end())
+        ++isolated;
     for (const auto keeper : keepers)
         vms[keeper]->feeds.reset();
     int granted = 0;
     const auto end = clock.now() + Milliseconds { 1500 };
     while (clock.now() < end)
-        granted += ask(alone, 5).isGranted;
+        granted += ask(isolated, 5).isGranted;
     CHECK_TEXT(granted <= 1, std::to_string(granted).c_str());
 }
 
-TEST(PeerPermits, OneVmsNewsThatALimitHasEndedReachesTheOthersWithTheirNextQuestion)
+TEST(PeerPermits, EndOfALimitReportedByOneVmReachesTheOthersWithTheirNextRequest)
 {
     addVms(4);
     ask(0, 1);
@@ -158,7 +158,7 @@
     CHECK_FALSE(got->news.perSecond.has_value());
 }
 
-TEST(PeerPermits, AnswersNoQuestionThatCannotBeRead)
+TEST(PeerPermits, RefusesInvalidRequestsAndReports)
 {
     addVms(1);
     auto& asked = *vms[0]->permits;
--- a/test/PeerRolloutsTest.cpp
+++ b/test/PeerRolloutsTest.cpp
@@ -47,7 +47,7 @@
         daemon.reset();
     }
 
-    void begin(std::uint64_t revision = orderRevision)
+    void startRollout(std::uint64_t revision = orderRevision)
     {
         rollouts->takeRow({ "rollout/s", orderText, false, revision });
     }
@@ -59,7 +59,7 @@
     std::string status() { return store->value("status", "rollout/s").value_or("none"); }
 
     // A report of another process with the given counts of the candidate's answers.
-    static std::string account(unsigned candidateAnswers, unsigned candidateBad, std::uint64_t revision = orderRevision)
+    static std::string report(unsigned candidateAnswers, unsigned candidateBad, std::uint64_t revision = orderRevision)
     {
         return R"({"service":"s","process":"vm2/1","stopped":false,"revision":)" + std::to_string(revision)
             + R"(,"routes":{"r":{"present":[200,2],"candidate":[)" + std::to_string(candidateAnswers) + ","
@@ -83,83 +83,83 @@
     }
 };
 
-TEST(PeerRollouts, WritesThatAnOrderIsUnderWayAndRollsItBackForWantOfEvidence)
+TEST(PeerRollouts, RecordsARunningOrderAndRollsItBackWithoutEvidence)
 {
     advanceStore();
-    begin();
+    startRollout();
     CHECK(runUntil([&] { return status().find("running") != std::string::npos; }));
     CHECK(runUntil([&] { return status().find("rolled_back") != std::string::npos; }));
     CHECK(runUntil([&] { return rollout().decision() == RolloutDecision::RolledBack; }));
     CHECK_FALSE(rollout().choose(daemon->clock().now()).admits("v2"));
 }
 
-TEST(PeerRollouts, RollsABadCandidateBackAsSoonAsOtherVmsHaveSeenIt)
+TEST(PeerRollouts, RollsBackACandidateThatOtherVmsReportAsBad)
 {
     advanceStore();
-    begin();
-    const auto told = rollouts->takeAccount(account(20, 12));
+    startRollout();
+    const auto told = rollouts->takeAccount(report(20, 12));
     CHECK(told && told->find("stop") != std::string::npos);
     CHECK(runUntil([&] { return rollout().decision() == RolloutDecision::RolledBack; }));
     CHECK_TEXT(rollout().isStopped(), "the VM stops its own requests to the candidate as well");
 }
 
-TEST(PeerRollouts, CompletesACandidateThatOtherVmsFoundGood)
+TEST(PeerRollouts, CompletesACandidateThatOtherVmsReportAsGood)
 {
     advanceStore();
-    begin();
-    rollouts->takeAccount(account(90, 1));
+    startRollout();
+    rollouts->takeAccount(report(90, 1));
     CHECK(runUntil([&] { return status().find("completed") != std::string::npos; }));
     CHECK(runUntil([&] { return rollout().decision() == RolloutDecision::Completed; }));
 }
 
-TEST(PeerRollouts, TakesTheDecisionThatAnotherVmHasWritten)
+TEST(PeerRollouts, AdoptsTheDecisionThatAnotherVmHasWritten)
 {
     advanceStore();
     store->put("status", "rollout/s", R"({"state":"completed","target-version":"v2"})");
-    begin();
-    rollouts->takeAccount(account(20, 12));
+    startRollout();
+    rollouts->takeAccount(report(20, 12));
     CHECK(runUntil([&] { return rollout().decision() != RolloutDecision::Undecided; }));
     CHECK_TEXT(rollout().decision() == RolloutDecision::Completed, "a decision that is in the store must not change");
 }
 
-TEST(PeerRollouts, TheRecordOfAnEarlierOrderIsNoDecision)
+TEST(PeerRollouts, IgnoresTheRecordOfAnEarlierOrder)
 {
     store->put("status", "rollout/s", R"({"state":"completed","target-version":"v2"})");
     advanceStore();
-    begin(orderRevision);
+    startRollout(orderRevision);
     CHECK(runUntil([&] { return status().find("running") != std::string::npos; }));
 }
 
-TEST(PeerRollouts, OrdersAndAccountsThatCannotBeReadChangeNothing)
+TEST(PeerRollouts, IgnoresInvalidOrdersAndReports)
 {
     for (const auto* text : { "", "[]", "{}", R"({"service":"s","target-version":"v2","duration-s":0})",
              R"({"service":"other","target-version":"v2","duration-s":5})", R"({"target-version":7,"duration-s":5})" })
         rollouts->takeRow({ "rollout/s", text, false, 1 });
     rollouts->takeRow({ "rollout/", orderText, false, 1 });
     CHECK(daemon->rollouts().all().empty());
-    begin();
+    startRollout();
     for (const auto* text : { "", "7", "{}", R"({"service":"s","revision":3,"process":1,"routes":{}})",
              R"({"service":"s","revision":3,"process":"p","routes":{"r":{"present":[1],"candidate":[1,1]}}})" })
         CHECK_FALSE(rollouts->takeAccount(text).has_value());
     CHECK_FALSE_TEXT(
-        rollouts->takeAccount(account(1, 1, 99)).has_value(), "a report about another order must be refused");
+        rollouts->takeAccount(report(1, 1, 99)).has_value(), "a report about another order must be refused");
 }
 
-TEST(PeerRollouts, AnOrderThatIsGoneTellsVersionsApartNoMore)
+TEST(PeerRollouts, RemovedOrderEndsItsRollout)
 {
-    begin();
+    startRollout();
     rollouts->takeRow({ "rollout/s", "", true, orderRevision + 1 });
     CHECK(daemon->rollouts().all().empty());
 }
 
 // The store is restored from a copy that has neither the order nor its record. Starting the rollout over would send the
 // bad candidate its share of the requests once more.
-TEST(PeerRollouts, WhatWasDecidedOfAnOrderHoldsAndIsWrittenAgainWhenTheStoreHasLostBoth)
+TEST(PeerRollouts, KeepsAndRewritesADecisionWhenTheStoreHasLostItAndItsOrder)
 {
     advanceStore();
     store->keepCopy();
-    begin();
-    rollouts->takeAccount(account(20, 12));
+    startRollout();
+    rollouts->takeAccount(report(20, 12));
     CHECK(runUntil([&] { return rollout().decision() == RolloutDecision::RolledBack; }));
     restoreStore();
     rollouts->takeTable({});
@@ -170,11 +170,11 @@
     CHECK(runUntil([&] { return status().find("rolled_back") != std::string::npos; }));
 }
 
-TEST(PeerRollouts, EvidenceAgainstACandidateHoldsWhenItsOrderIsWrittenAgain)
+TEST(PeerRollouts, RewrittenOrderKeepsTheEvidenceAgainstItsCandidate)
 {
     advanceStore();
     store->keepCopy();
-    begin();
+    startRollout();
     rollout().hear(GathererWord::Stop, daemon->clock().now());
     restoreStore();
     rollouts->takeTable({ { "rollout/s", orderText, false, 2, 1 } });
@@ -184,9 +184,9 @@
 }
 
 // After the restore the store assigns the earlier order's revision to another order.
-TEST(PeerRollouts, AnotherOrderUnderTheSameRevisionOfALaterEraIsAnotherOrder)
+TEST(PeerRollouts, OrderWithAReusedRevisionOfALaterEraIsANewOrder)
 {
-    begin();
+    startRollout();
     rollout().decide(RolloutDecision::RolledBack, daemon->clock().now());
     restoreStore();
     rollouts->takeRow(
@@ -195,9 +195,9 @@
     CHECK(rollout().decision() == RolloutDecision::Undecided);
 }
 
-TEST(PeerRollouts, AnOlderOrderInACopyOfTheStoreIsNotBegunAgain)
+TEST(PeerRollouts, OlderOrderInARestoredStoreDoesNotStartAgain)
 {
-    begin();
+    startRollout();
     rollouts->takeRow({ "rollout/t", R"({"service":"t","target-version":"v2","duration-s":1.5})", false, 4 });
     rollouts->takeRow({ "rollout/t", "", true, 5 });
     restoreStore();
@@ -209,7 +209,7 @@
 }
 
 // One VM aggregates; the other reports its counts to it and follows its directives.
-TEST(PeerRollouts, AVmTellsTheGathererOfItsZoneAndHearsTheDecision)
+TEST(PeerRollouts, VmReportsToTheAggregatorOfItsZoneAndLearnsTheDecision)
 {
     advanceStore();
     VmRegistry vms(daemon->ioContext(), { "127.0.0.1", store->port() }, { "vm1", "a", {} }, {}, [](const auto&) {});
@@ -219,10 +219,10 @@
     RelaySettings settings;
     settings.vmName = "vm2";
     RelayDaemon other(settings, RelayAddresses {}, protocol);
-    PeerRollouts teller(other, { "127.0.0.1", store->port() }, { "vm2", "a", {}, 10 });
-    teller.setOthers({ { "vm1", "a", { "127.0.0.1", feeds.port() }, 200 } });
-    begin();
-    teller.takeRow({ "rollout/s", orderText, false, orderRevision });
+    PeerRollouts reporter(other, { "127.0.0.1", store->port() }, { "vm2", "a", {}, 10 });
+    reporter.setOthers({ { "vm1", "a", { "127.0.0.1", feeds.port() }, 200 } });
+    startRollout();
+    reporter.takeRow({ "rollout/s", orderText, false, orderRevision });
     auto& told = *other.rollouts().find("s");
     const auto runBothUntil = [&](const std::function<bool()>& condition) {
         return runUntil([&] {
--- a/test/PeerRunLocationsTest.cpp
+++ b/test/PeerRunLocationsTest.cpp
@@ -16,8 +16,8 @@
 namespace {
 
 // A VM with an address at which other VMs call it. The store does not answer unless a test changes that.
-struct TellingVm {
-    TellingVm(boost::asio::io_context& ioContext, const std::string& name, std::int64_t storePort)
+struct TestVm {
+    TestVm(boost::asio::io_context& ioContext, const std::string& name, std::int64_t storePort)
         : registry(ioContext, { "127.0.0.1", storePort }, { name, "a", {} }, {}, [](const auto&) {})
         , feeds(ioContext, { "127.0.0.1", 0 }, registry)
         , stored(ioContext, { "127.0.0.1", storePort })
@@ -39,17 +39,17 @@
 };
 
 // A store without any locations that counts its searches.
-class CountingLocations final : public RunLocations {
+class CountingStore final : public RunLocations {
 public:
     void note(const std::string&, const RunLocation&) override { }
     void forget(const std::string&) override { }
     void find(const std::string&, Found found) override
     {
-        ++finds;
+        ++searches;
         found(std::nullopt);
     }
 
-    int finds { 0 };
+    int searches { 0 };
 };
 
 } // namespace
@@ -58,7 +58,7 @@
 {
     std::unique_ptr<boost::asio::io_context> ioContext;
     std::unique_ptr<StoreStandIn> store;
-    std::vector<std::unique_ptr<TellingVm>> vms;
+    std::vector<std::unique_ptr<TestVm>> vms;
 
     void setup() override
     {
@@ -78,7 +78,7 @@
     void addVms(int count)
     {
         for (int i = 0; i < count; ++i)
-            vms.push_back(std::make_unique<TellingVm>(*ioContext, "vm" + std::to_string(i), store->port()));
+            vms.push_back(std::make_unique<TestVm>(*ioContext, "vm" + std::to_string(i), store->port()));
         for (const auto& vm : vms) {
             std::vector<VmEntry> others;
             for (const auto& other : vms) {
@@ -92,10 +92,10 @@
     bool runUntil(const std::function<bool()>& condition) { return internal::runUntil(*ioContext, condition); }
 
     // The number of VMs other than the first one that store the prompt's location.
-    std::size_t keptElsewhere(const std::string& promptId) const
+    std::size_t storedElsewhere(const std::string& promptId) const
     {
         return static_cast<std::size_t>(std::count_if(vms.begin() + 1, vms.end(),
-            [&](const std::unique_ptr<TellingVm>& vm) { return vm->locations->tell(promptId).has_value(); }));
+            [&](const std::unique_ptr<TestVm>& vm) { return vm->locations->tell(promptId).has_value(); }));
     }
 
     // A VM that asks six others, some of which know the run of prompt 91bd. Addresses, and so the three location
@@ -115,7 +115,7 @@
             others.push_back(self);
             group.vms[0]->locations->setOthers(others);
             group.vms[0]->locations->note("91bd", { "e1", "e2", "r1" });
-            CHECK(group.runUntil([&] { return group.keptElsewhere("91bd") >= 1; }));
+            CHECK(group.runUntil([&] { return group.storedElsewhere("91bd") >= 1; }));
         }
 
         std::string find(const std::string& promptId)
@@ -130,12 +130,12 @@
 
         boost::asio::io_context& ioContext;
         ManualClock clock;
-        CountingLocations store;
+        CountingStore store;
         const VmEntry self;
         PeerRunLocations locations;
     };
 
-    std::string find(TellingVm & vm, const std::string& promptId)
+    std::string find(TestVm & vm, const std::string& promptId)
     {
         std::string found;
         vm.locations->find(promptId, [&found](const std::optional<RunLocation>& location) {
@@ -146,17 +146,17 @@
     }
 };
 
-TEST(PeerRunLocations, AnyVmFindsARunOfADeadVmWhileTheStoreIsAway)
+TEST(PeerRunLocations, AnyVmFindsARunOfADeadVmWhileTheStoreIsUnavailable)
 {
     addVms(6);
     vms[0]->locations->note("91bd", { "e1", "e2", "r1" });
-    CHECK(runUntil([&] { return keptElsewhere("91bd") >= 2; }));
+    CHECK(runUntil([&] { return storedElsewhere("91bd") >= 2; }));
     vms[0].reset();
     for (std::size_t i = 1; i < vms.size(); ++i)
         STRCMP_EQUAL("e1 e2 r1", find(*vms[i], "91bd").c_str());
 }
 
-TEST(PeerRunLocations, TheStoreIsAskedToo)
+TEST(PeerRunLocations, FindsARunThatOnlyTheStoreKnows)
 {
     addVms(2);
     store->setFault(StoreFault::None);
@@ -172,16 +172,16 @@
     AskingVm asking(*this);
     asking.clock.advance(Milliseconds { 10001 });
     STRCMP_EQUAL("e1", asking.find("91bd").c_str());
-    LONGS_EQUAL_TEXT(0, asking.store.finds, "the store must not be asked if a VM knows the run");
+    LONGS_EQUAL_TEXT(0, asking.store.searches, "the store must not be asked if a VM knows the run");
     STRCMP_EQUAL("none", asking.find("77aa").c_str());
-    LONGS_EQUAL_TEXT(1, asking.store.finds, "the store must be asked once if no VM knows the run");
+    LONGS_EQUAL_TEXT(1, asking.store.searches, "the store must be asked once if no VM knows the run");
 }
 
 TEST(PeerRunLocations, AVmThatHasJustStartedAsksTheStoreAtOnce)
 {
     AskingVm asking(*this);
     STRCMP_EQUAL("e1", asking.find("91bd").c_str());
-    LONGS_EQUAL(1, asking.store.finds);
+    LONGS_EQUAL(1, asking.store.searches);
 }
 
 TEST(PeerRunLocations, ASearchThatFindsNothingEnds)
@@ -191,17 +191,17 @@
     STRCMP_EQUAL("none", find(*vms[0], "91bd").c_str());
 }
 
-TEST(PeerRunLocations, ANoteThatIsNotSentYetIsNotSentOnceItsRunHasEnded)
+TEST(PeerRunLocations, DoesNotSendTheLocationOfAnEndedRun)
 {
     addVms(4);
     vms[0]->locations->note("91bd", { "e1", "e2", "r1" });
     vms[0]->locations->forget("91bd");
     vms[0]->locations->note("77aa", { "e1", "e2", "r2" });
-    CHECK(runUntil([&] { return keptElsewhere("77aa") >= 2; }));
-    LONGS_EQUAL(0, keptElsewhere("91bd"));
+    CHECK(runUntil([&] { return storedElsewhere("77aa") >= 2; }));
+    LONGS_EQUAL(0, storedElsewhere("91bd"));
 }
 
-TEST(PeerRunLocations, RefusesWhatItCannotRead)
+TEST(PeerRunLocations, RefusesInvalidLocations)
 {
     addVms(1);
     for (const auto* const text : { "", "[]", "7", "{" })
--- a/test/ZoneReadersTest.cpp
+++ b/test/ZoneReadersTest.cpp
@@ -42,7 +42,7 @@
     CHECK_FALSE(readers.current().has_value());
 }
 
-TEST(ZoneReaders, AFailedReaderIsFollowedByTheNextOnceThatHadTimeToFindOut)
+TEST(ZoneReaders, FailedReaderIsReplacedAfterTheNextHadTimeToDetectTheFailure)
 {
     ZoneReaders readers(clock, { "a9", "a", {}, 10 });
     readers.setOthers(others());
@@ -55,7 +55,7 @@
     STRCMP_EQUAL("a2", readers.current()->name.c_str());
 }
 
-TEST(ZoneReaders, AReaderWithOldNewsIsFollowedByTheNextAtOnce)
+TEST(ZoneReaders, ReaderWithStaleDataIsReplacedAtOnce)
 {
     ZoneReaders readers(clock, { "a9", "a", {}, 10 });
     readers.setOthers(others());
@@ -68,14 +68,14 @@
 }
 
 // The store answers no VM, in a zone of 59 VMs. Each VM finds that one reader after the other has stale data.
-TEST(ZoneReaders, OnlyTheFirstFewAskAStoreThatAnswersNobody)
+TEST(ZoneReaders, OnlyTheFirstFewVmsAskAFailingStore)
 {
     constexpr int vmCount = 59;
     std::vector<VmEntry> vms;
     vms.reserve(vmCount);
     for (int i = 0; i < vmCount; ++i)
         vms.push_back({ "a" + std::to_string(100 + i), "a", {}, 10 });
-    int askTheStore = 0;
+    int askingVms = 0;
     for (const auto& self : vms) {
         ZoneReaders readers(clock, self);
         auto known = vms;
@@ -83,18 +83,18 @@
             std::find_if(known.begin(), known.end(), [&self](const VmEntry& vm) { return vm.name == self.name; }));
         readers.setOthers(known);
         bool asksTheStore = false;
-        for (int question = 0; question < 20; ++question) {
+        for (int attempt = 0; attempt < 20; ++attempt) {
             const auto reader = readers.current();
             asksTheStore = asksTheStore || !reader;
             if (reader)
                 readers.passOver(reader->name);
         }
-        askTheStore += asksTheStore ? 1 : 0;
+        askingVms += asksTheStore ? 1 : 0;
     }
-    CHECK_TEXT(askTheStore <= 5, "a failing store must be asked by at most five VMs of the zone");
+    CHECK_TEXT(askingVms <= 5, "a failing store must be asked by at most five VMs of the zone");
 }
 
-TEST(ZoneReaders, TheNextByRankReadsTheStoreWhenItFindsTheFirstFailed)
+TEST(ZoneReaders, NextVmByRankReadsTheStoreWhenTheFirstHasFailed)
 {
     ZoneReaders readers(clock, { "a3", "a", {}, 200 });
     auto vms = others();
@@ -107,7 +107,7 @@
     CHECK_FALSE_TEXT(readers.current().has_value(), "a3 is the first by rank now and must read the store");
 }
 
-TEST(ZoneReaders, AReaderThatTheStoreTurnsAwayFollowsTheNextByRank)
+TEST(ZoneReaders, ReaderThatTheStoreRejectsAsksTheNextByRank)
 {
     ZoneReaders readers(clock, { "a0", "a", {}, 200 });
     readers.setOthers(others());
