--- a/test/ZoneReadersTest.cpp
+++ b/test/ZoneReadersTest.cpp
@@ -12,7 +12,7 @@
 {
     ManualClock clock;
 
-    // Five VMs of zone a beside the own one, and a fast one of another zone.
+    // Five VMs of zone a in addition to the tested one, and a fast one of another zone.
     static std::vector<VmEntry> others()
     {
         return { { "b1", "b", {}, 1000 }, { "a1", "a", {}, 10 }, { "a2", "a", {}, 200 }, { "a3", "a", {}, 200 },
@@ -37,24 +37,25 @@
 TEST(ZoneReaders, AZoneOfFewVmsHasNoReader)
 {
     ZoneReaders readers(clock, { "b9", "b", {}, 10 });
-    CHECK_FALSE_TEXT(readers.current().has_value(), "before the VMs are known, each reads the store itself");
+    CHECK_FALSE_TEXT(readers.current().has_value(), "a VM must read the store itself before it knows the other VMs");
     readers.setOthers(others());
     CHECK_FALSE(readers.current().has_value());
 }
 
-TEST(ZoneReaders, AFailedReaderIsFollowedByTheNextOnceThatHadTimeToFindOut)
+TEST(ZoneReaders, FailedReaderIsReplacedAfterTheNextHadTimeToDetectTheFailure)
 {
     ZoneReaders readers(clock, { "a9", "a", {}, 10 });
     readers.setOthers(others());
     readers.avoid("a2");
-    CHECK_FALSE_TEXT(readers.current().has_value(), "right after a failure a VM reads the store itself");
+    CHECK_FALSE_TEXT(
+        readers.current().has_value(), "a VM must read the store itself right after a failure of its reader");
     clock.advance(Milliseconds { 2000 });
     STRCMP_EQUAL("a3", readers.current()->name.c_str());
     clock.advance(Milliseconds { 5000 });
     STRCMP_EQUAL("a2", readers.current()->name.c_str());
 }
 
-TEST(ZoneReaders, AReaderWithOldNewsIsFollowedByTheNextAtOnce)
+TEST(ZoneReaders, ReaderWithStaleDataIsReplacedAtOnce)
 {
     ZoneReaders readers(clock, { "a9", "a", {}, 10 });
     readers.setOthers(others());
@@ -66,16 +67,15 @@
     STRCMP_EQUAL("a2", readers.current()->name.c_str());
 }
 
-// Replay of a store that answers nobody, in a zone of 59 VMs that each find one reader after the other to have old
-// news.
-TEST(ZoneReaders, OnlyTheFirstFewAskAStoreThatAnswersNobody)
+// The store answers no VM, in a zone of 59 VMs. Each VM finds that one reader after the other has stale data.
+TEST(ZoneReaders, OnlyTheFirstFewVmsAskAFailingStore)
 {
     constexpr int vmCount = 59;
     std::vector<VmEntry> vms;
     vms.reserve(vmCount);
     for (int i = 0; i < vmCount; ++i)
         vms.push_back({ "a" + std::to_string(100 + i), "a", {}, 10 });
-    int askTheStore = 0;
+    int askingVms = 0;
     for (const auto& self : vms) {
         ZoneReaders readers(clock, self);
         auto known = vms;
@@ -83,18 +83,18 @@
             std::find_if(known.begin(), known.end(), [&self](const VmEntry& vm) { return vm.name == self.name; }));
         readers.setOthers(known);
         bool asksTheStore = false;
-        for (int question = 0; question < 20; ++question) {
+        for (int attempt = 0; attempt < 20; ++attempt) {
             const auto reader = readers.current();
             asksTheStore = asksTheStore || !reader;
             if (reader)
                 readers.passOver(reader->name);
         }
-        askTheStore += asksTheStore ? 1 : 0;
+        askingVms += asksTheStore ? 1 : 0;
     }
-    CHECK_TEXT(askTheStore <= 5, "a store that cannot answer must not be asked by the whole zone");
+    CHECK_TEXT(askingVms <= 5, "a failing store must be asked by at most five VMs of the zone");
 }
 
-TEST(ZoneReaders, TheNextByRankReadsTheStoreWhenItFindsTheFirstFailed)
+TEST(ZoneReaders, NextVmByRankReadsTheStoreWhenTheFirstHasFailed)
 {
     ZoneReaders readers(clock, { "a3", "a", {}, 200 });
     auto vms = others();
@@ -104,15 +104,16 @@
     STRCMP_EQUAL("a2", readers.current()->name.c_str());
     readers.avoid("a2");
     clock.advance(Milliseconds { 2000 });
-    CHECK_FALSE_TEXT(readers.current().has_value(), "a3 is the first by rank now and reads the store");
+    CHECK_FALSE_TEXT(readers.current().has_value(), "a3 is the first by rank now and must read the store");
 }
 
-TEST(ZoneReaders, AReaderThatTheStoreTurnsAwayFollowsTheNextByRank)
+TEST(ZoneReaders, ReaderThatTheStoreRejectsAsksTheNextByRank)
 {
     ZoneReaders readers(clock, { "a0", "a", {}, 200 });
     readers.setOthers(others());
     readers.avoidSelf();
     STRCMP_EQUAL("a2", readers.current()->name.c_str());
     clock.advance(Milliseconds { 7000 });
-    CHECK_FALSE_TEXT(readers.current().has_value(), "the first by rank is to be found again once the store answers");
+    CHECK_FALSE_TEXT(
+        readers.current().has_value(), "the first by rank must be the reader again once the skip time is over");
 }
