--- a/src/common/ByteSizes.h
+++ b/src/common/ByteSizes.h
@@ -1,4 +1,4 @@
-// Sizes in bytes.
+// Units of size, in bytes.
 #pragma once
 
 #include <cstddef>
--- a/src/common/EventLog.cpp
+++ b/src/common/EventLog.cpp
@@ -23,16 +23,16 @@
 
 namespace sinks = boost::log::sinks;
 using Backend = sinks::text_ostream_backend;
-// Lines that wait for the writing thread; about a megabyte at the usual length of a line.
+// Lines that may wait for the writer thread; about one megabyte at the usual line length.
 constexpr std::size_t queueLength = 4096;
 using Sink = sinks::asynchronous_sink<Backend, sinks::bounded_fifo_queue<queueLength, sinks::drop_on_overflow>>;
 
-// Lines a second: a VM of today takes some 5 requests a second and writes about two routine lines for each.
+// For routine and notable lines. A VM receives about 5 requests per second and writes about two routine lines for each.
 constexpr std::array<std::int64_t, 2> linesPerSecond { 200, 400 };
 constexpr std::chrono::milliseconds longestFlush { 200 };
 constexpr std::int64_t millisecondsInSecond = 1000;
 
-// State of the process's log.
+// The log of this process.
 struct EventLogState {
     std::mutex mutex;
     std::string vmName;
@@ -47,7 +47,7 @@
 
 EventLogState& state()
 {
-    // Never destroyed: threads that end late may still log.
+    // Never destroyed, because threads that outlive static objects may still log.
     static auto* const only = new EventLogState;
     return *only;
 }
@@ -79,7 +79,7 @@
 
 void put(EventLogState& log, const std::string& line) { BOOST_LOG(*log.logger) << line; }
 
-// Starts a new second's count and says what the last one dropped. Called with the lock held.
+// At the start of a new second, resets the counts and logs how many lines were dropped before. Requires the lock.
 void turnSecond(EventLogState& log)
 {
     const auto second = steadySecond();
@@ -122,7 +122,7 @@
 {
     if (!isStarted.exchange(false))
         return;
-    // Writing may be stuck behind a reader that reads nothing, so the wait for it is bounded and its thread left.
+    // The flush may block on a reader that does not read, so the wait is bounded and the flushing thread detached.
     struct Done {
         std::mutex mutex;
         std::condition_variable condition;
--- a/src/common/EventLog.h
+++ b/src/common/EventLog.h
@@ -1,11 +1,12 @@
-// The structured log: one JSON object a line on standard output, one line for each decision.
+// The structured event log: one line with a JSON object on standard output for each decision.
 //
 //     LogEvent("request.done").text("request", id).number("status", 200).write();
 //
-// A line reads `{"time_ms":...,"vm":"edge-1","event":"request.done","request":"9c41","status":200}`; docs/LOGS.md lists
-// the events. Lines are handed to a thread that writes them, through a bounded queue: a slow or blocked reader of
-// standard output delays nobody. The number of lines a second is limited too, failures apart from the rest; what was
-// dropped is counted and said once a second. Thread-safe.
+// This writes `{"time_ms":...,"vm":"edge-1","event":"request.done","request":"9c41","status":200}`; docs/LOGS.md lists
+// the events. A writer thread takes the lines from a bounded queue, so that a slow or blocked reader of standard output
+// does not delay the threads that log. The number of lines per second is limited separately for each LogImportance.
+// Lines dropped by this limit are counted, and a "log.dropped" event reports the counts at most once a second.
+// Thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +16,16 @@
 namespace lupinknot::internal {
 
 enum class LogImportance {
-    Routine, // What happens to every request.
-    Notable, // Failures, changes of belief, start and stop.
+    Routine, // Events of every request.
+    Notable, // Failures, changes in the VM's view of endpoints and peers, start and stop.
 };
 
-// Starts the thread that writes; lines before that, and in programs that never call it, are dropped.
+// Starts the writer thread. Lines written before this call, or in programs that never make it, are dropped.
 void startEventLog(const std::string& vmName);
-// Waits a little for the lines so far to be written.
+// Waits a short, limited time until the lines logged so far are written.
 void stopEventLog();
 
-// One line under construction. Not thread-safe; write() is the last call.
+// Builds one line. Not thread-safe; write() must be the last call.
 class LogEvent {
 public:
     explicit LogEvent(std::string_view name, LogImportance = LogImportance::Notable);
--- a/src/common/HistoryPosition.h
+++ b/src/common/HistoryPosition.h
@@ -1,10 +1,10 @@
-// A point in the history of an outside store that may come back from an older copy of itself.
+// A position in the history of an external store that may be restored from an older copy.
 //
-// Each return begins a new era, in which the store gives out again versions that it had given before. So a version
-// orders two states of a row only within one era; positions compare by the era first.
+// Each restore begins a new era, in which the store may assign versions that it had assigned before. Versions therefore
+// order two states of a row only within one era, and positions are compared by era first.
 //
 //     const HistoryPosition before { 1, 530 };
-//     const HistoryPosition after { 2, 480 };        // Later, although its version is smaller.
+//     const HistoryPosition after { 2, 480 };        // Later, although its version is lower.
 #pragma once
 
 #include <cstdint>
--- a/src/common/Log.h
+++ b/src/common/Log.h
@@ -1,8 +1,8 @@
-// The log of all our programs: short sentences, each with the fixed prefix of the part that says it.
+// The plain-text log of all programs: short sentences, each prefixed with the level and the component that writes it.
 //
-//     logInfo(LogPart::Route, "generation g1 attempt 2 goes to e3: fewest in flight (1).");
+//     logInfo(LogPart::Route, "generation g1 attempt 2 is sent to e3: fewest in flight (1).");
 //
-// A line reads `2026-01-02T03:04:05.678 info route: ...` and goes to standard error.
+// This writes `2026-01-02T03:04:05.678 info route: ...` to standard error.
 #pragma once
 
 #include "lupinknot/EnumNames.h"
@@ -56,7 +56,7 @@
     { LogLevel::Error, "error" },
 } };
 
-// Sets up the sink; call it once, before any thread is started. Lines below the level are dropped.
+// Sets up the log sink. Must be called once, before any thread is started. Lines below the level are dropped.
 void initializeLog(LogLevel);
 
 // Thread-safe.
--- a/src/common/NameHash.h
+++ b/src/common/NameHash.h
@@ -1,4 +1,5 @@
-// A number from 0 to 1 that follows from a name: VMs that must round, spread or order without asking each other use it.
+// Maps a name to a fixed fraction, so that VMs make the same rounding, distribution or ordering decisions without
+// communicating.
 #pragma once
 
 #include <string_view>
@@ -6,10 +7,10 @@
 
 namespace lupinknot::internal {
 
-// Less than 1, the same in every process.
+// At least 0 and less than 1; the same in every process.
 inline double fractionOfName(std::string_view name)
 {
-    // One more than the greatest hash.
+    // One more than the largest hash value.
     constexpr double hashRange = 4294967296.0;
     return static_cast<double>(XXH32(name.data(), name.size(), 0)) / hashRange;
 }
--- a/src/common/Version.h
+++ b/src/common/Version.h
@@ -1,4 +1,4 @@
-// The release of all programs and of the library.
+// The release number of all programs and of the library.
 #pragma once
 
 #include <string_view>
--- a/test/EventLogTest.cpp
+++ b/test/EventLogTest.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-// Far longer than anything here takes: reached only by a test that fails.
+// Much longer than the test needs; reached only when it fails.
 constexpr std::chrono::seconds patience { 20 };
 constexpr int manyLines = 20000;
-// What a second may hold of both kinds, twice over, because the test may begin at a second's end.
+// The lines of both kinds allowed in two seconds, because the test may run across the boundary of a second.
 constexpr std::ptrdiff_t mostLines = 2 * 600 + 10;
 
-// Standard output as a short pipe, for as long as the object lives.
+// Redirects standard output to a pipe with a small buffer for the lifetime of the object.
 class PipedOutput {
 public:
     PipedOutput()
@@ -38,7 +38,7 @@
             ::close(descriptor);
     }
 
-    // Reads until nothing more comes.
+    // Reads until no more data arrives.
     std::string drain()
     {
         constexpr int quietMilliseconds = 300;
@@ -74,8 +74,8 @@
     });
     const bool isDone = written.wait_for(patience) == std::future_status::ready;
     const auto text = output.drain();
-    CHECK_TEXT(isDone, "writing lines should never wait for the reader of standard output");
+    CHECK_TEXT(isDone, "writing log lines must not wait for the reader of standard output");
     const auto lines = std::count(text.begin(), text.end(), '\n');
-    CHECK_TEXT(lines > 0, "some lines should have come once the reader read");
-    CHECK_TEXT(lines <= mostLines, "at most 200 routine and 400 notable lines a second should be written");
+    CHECK_TEXT(lines > 0, "expected some lines after the reader started to read");
+    CHECK_TEXT(lines <= mostLines, "expected at most 200 routine and 400 notable lines per second");
 }
