--- a/src/http/ClientConnection.cpp
+++ b/src/http/ClientConnection.cpp
@@ -19,8 +19,8 @@
 constexpr std::uint32_t maxAnswerHeadBytes = 64 * kibibyte;
 constexpr Milliseconds oneSecond { 1000 };
 
-// A peer that vanished without a word is noticed by probes of the system: after one second of rest, one a second, and
-// the connection is given up when two stay unanswered.
+// TCP keep-alive detects a peer that disappears without closing the connection. The kernel sends a probe per second
+// after one idle second and drops the connection after two unanswered probes.
 constexpr int probeIdleSeconds = 1;
 constexpr int probeIntervalSeconds = 1;
 constexpr int probeCount = 2;
@@ -42,7 +42,7 @@
 
 } // namespace
 
-// Hands an answer on to the listener while it is parsed.
+// Parses a response and forwards its parts to the listener as they arrive.
 class ClientConnection::AnswerParser final : public http::basic_parser<false> {
 public:
     AnswerParser(const std::weak_ptr<ClientConnectionListener>& listener, bool isHeadRequest)
@@ -50,14 +50,14 @@
     {
         eager(true);
         header_limit(maxAnswerHeadBytes);
-        // Boost 1.74 takes "no limit" for a limit of nothing.
+        // Boost 1.74 treats boost::none ("no limit") as a limit of zero bytes.
         body_limit(std::numeric_limits<std::uint64_t>::max());
         if (isHeadRequest)
             skip(true);
     }
 
     const HttpResponse& head() const { return m_head; }
-    // 1xx answers come before the real one and are not reported.
+    // 1xx responses precede the final one and are not reported.
     bool isInterim() const { return m_head.status < 200; }
 
 private:
@@ -173,7 +173,7 @@
 
 void ClientConnection::applySocketOptions()
 {
-    // Options that a system lacks are done without: the callers' own time limits still hold.
+    // Options that the system does not support are skipped; the callers' own timeouts still apply.
     boost::system::error_code ignored;
     m_socket.set_option(net::ip::tcp::no_delay(true), ignored);
     m_socket.set_option(net::socket_base::keep_alive(true), ignored);
@@ -193,7 +193,7 @@
     net::async_write(m_socket, net::buffer(m_requestBytes),
         [self = shared_from_this()](boost::system::error_code error, std::size_t) {
             self->m_isWriting = false;
-            // A peer may answer and close before it has read all; what it sent is still read.
+            // The peer may respond and close before it has read the whole request; its response is still read.
             if (error && self->m_state == State::Idle)
                 self->close();
         });
@@ -216,7 +216,7 @@
         return;
     }
     if (m_state != State::Busy) {
-        // Nobody waits for an answer: what has come belongs to no request.
+        // No response is pending, so the bytes belong to no request.
         close();
         return;
     }
@@ -304,7 +304,7 @@
         fail(ClientFailure::ClosedBeforeAnswer);
         return;
     }
-    // An answer without a length ends with an orderly close; a reset breaks it off.
+    // A response without a length ends with an orderly close; after a reset it is truncated.
     beast::error_code parseError;
     if (error == net::error::eof && m_parser->is_header_done() && m_parser->need_eof())
         m_parser->put_eof(parseError);
--- a/src/http/ClientConnection.h
+++ b/src/http/ClientConnection.h
@@ -1,16 +1,16 @@
 // One outgoing HTTP/1.1 connection that never sends a request twice.
 //
-// cpprestsdk's client sends a request again by itself when a pooled connection turns out to be closed; the first
-// sending may have run by then. This connection reports the failure instead and leaves the decision to its owner:
+// cpprestsdk's client resends a request by itself when a pooled connection turns out to be closed, although the server
+// may already have run the first one. This connection reports the failure instead and lets its owner decide:
 //
 //     auto connection = ClientConnection::open(ioContext, address, settings);
-//     connection->send(request, listener);     // Connects first if it has to.
+//     connection->send(request, listener);     // Connects first if necessary.
 //     ...                                      // listener->answerHead(), answerBody(), answerEnd()
 //     if (connection->isIdle()) ...            // May carry the next request.
 //
-// An idle connection keeps reading: bytes that nobody asked for, or the peer's close, end it.
-// Not thread-safe: all calls and callbacks are made on the one thread that runs the io_context. Owned by its user and
-// by its pending operations.
+// An idle connection keeps reading; it closes when the peer closes it or sends unsolicited bytes.
+// Not thread-safe: all calls and callbacks are made on the single thread that runs the io_context. Owned by its user
+// and by its pending operations.
 #pragma once
 
 #include "http/HttpRequest.h"
@@ -27,10 +27,10 @@
 namespace lupinknot::internal {
 
 enum class ClientFailure {
-    NotConnected, // No connection came about: nothing was sent.
-    ClosedBeforeAnswer, // The peer closed or reset the connection before the answer's first byte.
-    Truncated, // The answer broke off.
-    Malformed, // Bytes came that are not an answer.
+    NotConnected, // The connection could not be established; nothing was sent.
+    ClosedBeforeAnswer, // The peer closed or reset the connection before the first byte of the response.
+    Truncated, // The connection ended within the response.
+    Malformed, // The received bytes are not an HTTP response.
 };
 
 inline constexpr std::array<EnumName<ClientFailure>, 4> clientFailureNames { {
@@ -40,22 +40,22 @@
     { ClientFailure::Malformed, "malformed" },
 } };
 
-// Callbacks may close the connection or send on it.
+// Receives the response. Callbacks may close the connection or send on it.
 class ClientConnectionListener {
 public:
     virtual ~ClientConnectionListener() = default;
     virtual void answerHead(const HttpResponse& head) = 0;
     virtual void answerBody(std::string_view piece) = 0;
-    // The answer is whole. Returns true when it was not the one asked for and the next one is to be awaited.
+    // The response is complete. Returns true if it does not belong to the request and the next one must be awaited.
     virtual bool answerEnd() = 0;
-    // The connection is closed. Called at most once, and not after close().
+    // The connection failed and is closed. Called at most once, and never after close().
     virtual void connectionFailed(ClientFailure) = 0;
 };
 
 struct ClientConnectionSettings {
-    // Time for the connection to come about.
+    // Time in which the connection must be established.
     Milliseconds connectTimeout { 1000 };
-    // Time that sent bytes may stay unacknowledged before the system gives the connection up (TCP_USER_TIMEOUT).
+    // Time that sent bytes may stay unacknowledged before the kernel closes the connection (TCP_USER_TIMEOUT).
     Milliseconds unacknowledgedTimeout { 2000 };
 };
 
@@ -67,16 +67,17 @@
     ClientConnection(const ClientConnection&) = delete;
     ClientConnection& operator=(const ClientConnection&) = delete;
 
-    // Sends a request; no other may be under way.
+    // Sends a request. No other request may be in progress.
     void send(const HttpRequest&, std::weak_ptr<ClientConnectionListener>);
-    // True when the last answer was whole, nothing came after it and both sides keep the connection.
+    // True when the last response was complete, no bytes followed it and both sides keep the connection open.
     bool isIdle() const { return m_state == State::Idle; }
     bool isClosed() const { return m_state == State::Closed; }
-    // True once a byte of the present request may have left this process.
+    // True once bytes of the current request may have left this process.
     bool hasSent() const { return m_hasSent; }
-    // How long the peer keeps the idle connection, if it said so.
+    // How long the peer keeps the connection open while idle, if its last response stated it (Keep-Alive header).
     std::optional<Milliseconds> peerIdleTimeout() const { return m_peerIdleTimeout; }
-    // Closes at once, by a reset when an answer is still due, so that the peer sees it at its next read or write.
+    // Closes immediately; with a reset if a response is still pending, so that the peer notices it at its next read or
+    // write.
     void close();
 
 private:
--- a/src/http/HttpBodySource.h
+++ b/src/http/HttpBodySource.h
@@ -1,4 +1,4 @@
-// Where a streamed response gets its body from.
+// The source of a streamed response's body.
 #pragma once
 
 #include <string>
@@ -6,13 +6,13 @@
 namespace lupinknot::internal {
 
 struct HttpBodyPiece {
-    // Empty when nothing is ready; the exchange asks again after its wake().
+    // Empty when nothing is ready; the exchange calls next() again after its wake().
     std::string bytes;
     bool isLast { false };
 };
 
-// The connection pulls: it asks for the next piece only when the one before has been handed to the system. So a slow
-// reader holds back nothing but itself, and what became ready in the meantime goes out in one flush.
+// The connection pulls: it requests the next piece only after the previous one has been written to the socket. A slow
+// reader therefore delays only its own response, and all data that became ready in the meantime is written at once.
 class HttpBodySource {
 public:
     virtual ~HttpBodySource() = default;
--- a/src/http/HttpCall.cpp
+++ b/src/http/HttpCall.cpp
@@ -17,8 +17,8 @@
 using web::http::client::http_client;
 using web::http::client::http_client_config;
 
-// How cpprestsdk words the failure of all tries to connect. Its error code alone does not tell it from a write that
-// broke, after which the peer may have the request.
+// cpprestsdk's error message when all connection attempts fail. The error code alone does not distinguish this from a
+// failed write, after which the peer may have received the request.
 constexpr std::string_view connectFailureText = "Failed to connect to any resolved endpoint";
 
 bool isConnectFailure(const http_exception& error)
@@ -81,8 +81,8 @@
         readNext();
     }
 
-    // Reading a number of bytes would wait until there are as many, so the first byte is waited for, and then what is
-    // there is taken.
+    // Reading several bytes would wait until all of them are available. So this waits for the first byte only, and
+    // byteReady() then reads what is available.
     void readNext()
     {
         m_body.getc().then([self = shared_from_this()](
@@ -103,7 +103,7 @@
 
     void bodyEnded()
     {
-        // The buffer ends alike after a whole body and after some failures; this task tells them apart.
+        // The buffer reaches its end both after a complete body and after some failures; this task distinguishes them.
         m_response.content_ready().then([self = shared_from_this()](const pplx::task<http_response>& task) {
             self->guarded([&] {
                 task.get();
@@ -133,7 +133,7 @@
         return isTimeout ? HttpCallFailure::TimedOut : HttpCallFailure::Lost;
     }
 
-    // At its end the call lets go of its listener, which may hold the call.
+    // Gives up the listener when the call ends, because the listener may own the call.
     std::shared_ptr<HttpCallListener> release() { return std::move(m_listener); }
 
     bool isCancelled() const { return m_cancellation.get_token().is_canceled(); }
--- a/src/http/HttpCallGroup.cpp
+++ b/src/http/HttpCallGroup.cpp
@@ -6,7 +6,7 @@
 
 namespace lupinknot::internal {
 
-// Stands between a call and its listener, and notes when the call lets go of both.
+// Forwards a call's events to its listener, and removes the call from the group when the call releases both.
 class HttpCallGroup::Tracker final : public HttpCallListener {
 public:
     Tracker(HttpCallGroup& group, std::shared_ptr<HttpCallListener> listener)
@@ -34,7 +34,7 @@
     std::shared_ptr<HttpCallListener> m_listener;
 };
 
-// What a group that has ended gives back. A call that was begun and cancelled could still reach its endpoint.
+// Returned by a group that has ended. Starting a call and cancelling it could still send it to the endpoint.
 class HttpCallGroup::UnsentCall final : public HttpCall {
 public:
     void cancel() override { }
--- a/src/http/HttpCallGroup.h
+++ b/src/http/HttpCallGroup.h
@@ -1,11 +1,11 @@
-// The outgoing calls of one owner, so that it can be destroyed safely.
+// The outgoing calls of one owner. The group lets the owner be destroyed safely.
 //
-// Callbacks of a call run on threads of cpprestsdk that know nothing of the owner. Before the owner destroys what its
-// listeners use, it ends the group:
+// Callbacks of a call run on cpprestsdk's threads, independently of the owner's lifetime. The owner must end the group
+// before it destroys objects that its listeners use:
 //
 //     HttpCallGroup calls;
 //     calls.start(address, request, timeout, listener);
-//     calls.cancelAndWait();              // From here on no listener of the group is called any more.
+//     calls.cancelAndWait();              // No listener of the group is called after this.
 #pragma once
 
 #include "http/HttpCall.h"
@@ -23,11 +23,11 @@
     HttpCallGroup(const HttpCallGroup&) = delete;
     HttpCallGroup& operator=(const HttpCallGroup&) = delete;
 
-    // As HttpCall::start().
+    // Like HttpCall::start().
     std::shared_ptr<HttpCall> start(
         const SocketAddress&, const HttpRequest&, Milliseconds timeout, std::shared_ptr<HttpCallListener>);
-    // Cancels every call and returns when the last listener has been let go. Calls that are started later are not
-    // sent, and their listeners hear nothing.
+    // Cancels all calls and returns when the last listener has been released. Calls started later are not sent, and
+    // their listeners are never called.
     void cancelAndWait();
 
 private:
@@ -38,7 +38,7 @@
 
     std::mutex m_mutex;
     std::condition_variable m_condition;
-    // Both under the lock.
+    // Both are guarded by m_mutex.
     std::unordered_map<const Tracker*, std::weak_ptr<HttpCall>> m_calls;
     bool m_isEnded { false };
 };
--- a/src/http/HttpCallListener.h
+++ b/src/http/HttpCallListener.h
@@ -1,4 +1,4 @@
-// Hears of what comes back from an outgoing HTTP call.
+// Receives the response of an outgoing HTTP call.
 #pragma once
 
 #include "http/HttpHeaders.h"
@@ -7,9 +7,9 @@
 namespace lupinknot::internal {
 
 enum class HttpCallFailure {
-    NotConnected, // No connection came about: nothing was sent.
-    Lost, // The connection broke, before or within the response.
-    TimedOut, // The call's time limit passed.
+    NotConnected, // The connection could not be established; nothing was sent.
+    Lost, // The connection broke before or during the response.
+    TimedOut, // The call's timeout expired.
     Cancelled,
 };
 
@@ -20,8 +20,8 @@
     { HttpCallFailure::Cancelled, "cancelled" },
 } };
 
-// Calls come one at a time from threads of the client's pool: head, any number of pieces, and at last either end or
-// failure, after which there is no other. Implementations must not block.
+// Methods are called one at a time on threads of the client's pool: the response header first, then any number of body
+// pieces, and finally either ended() or failed(). A failure may come at any point. Implementations must not block.
 class HttpCallListener {
 public:
     virtual ~HttpCallListener() = default;
--- a/src/http/HttpExchange.h
+++ b/src/http/HttpExchange.h
@@ -1,4 +1,4 @@
-// One request that a server has received, and the means to answer it.
+// One request that a server has received, and the interface to respond to it.
 #pragma once
 
 #include "http/HttpRequest.h"
@@ -10,21 +10,21 @@
 
 class HttpBodySource;
 
-// Thread-safe: every call may come from any thread. Exactly one of respond() and stream() is called, once; later calls
-// are ignored, as are all calls after the peer has gone.
+// Thread-safe. Exactly one of respond() and stream() must be called, once. Later calls are ignored, and so are all
+// calls after the peer has disconnected.
 class HttpExchange {
 public:
     virtual ~HttpExchange() = default;
     virtual const HttpRequest& request() const = 0;
-    // Sends a whole response.
+    // Sends a complete response.
     virtual void respond(HttpResponse) = 0;
-    // Sends the head, then pieces of the source until its last one.
+    // Sends the header, then the pieces of the source up to its last one.
     virtual void stream(HttpResponse head, std::shared_ptr<HttpBodySource>) = 0;
-    // Tells that the source may have something.
+    // Notifies the connection that the source may have data.
     virtual void wake() = 0;
-    // Closes the connection in the middle of the response, so that the peer knows that it is not whole.
+    // Closes the connection in the middle of the response, so that the peer recognises it as incomplete.
     virtual void abort() = 0;
-    // Sets what to call, once, when the peer goes away before the response is complete.
+    // Sets a callback that runs once if the peer disconnects before the response is complete.
     virtual void onGone(std::function<void()>) = 0;
 };
 
--- a/src/http/HttpFetch.cpp
+++ b/src/http/HttpFetch.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Collects the response and wakes the waiting thread at its end.
+// Collects the response and wakes the waiting thread when the call ends.
 class Collector final : public HttpCallListener {
 public:
     void headArrived(unsigned status, const HttpHeaders& headers) override
--- a/src/http/HttpFetch.h
+++ b/src/http/HttpFetch.h
@@ -1,4 +1,4 @@
-// A whole HTTP exchange that the calling thread waits for. For command-line tools and tests; a daemon never waits.
+// A blocking HTTP call, for command-line tools and tests. Daemons must not block and do not use it.
 #pragma once
 
 #include "http/HttpCallListener.h"
@@ -10,7 +10,7 @@
 namespace lupinknot::internal {
 
 struct HttpFetchResult {
-    // Status 0 when the call failed.
+    // Its status is 0 if the call failed.
     HttpResponse response;
     std::optional<HttpCallFailure> failure;
     std::string message;
@@ -18,10 +18,10 @@
     bool isOk() const { return !failure && response.status == 200; }
 };
 
-// Must not be called on a thread of the client's pool.
+// Blocks until the call ends. Must not be called on a thread of the client's pool.
 HttpFetchResult fetch(const SocketAddress&, const HttpRequest&, Milliseconds timeout);
 
-// Reads "HOST:PORT"; nothing when it is something else.
+// Parses "HOST:PORT". Returns nullopt if the text has another form.
 std::optional<SocketAddress> parseSocketAddress(const std::string&);
 
 } // namespace lupinknot::internal
--- a/src/http/HttpHeaders.cpp
+++ b/src/http/HttpHeaders.cpp
@@ -15,7 +15,7 @@
 
 bool isSameName(std::string_view a, std::string_view b) { return boost::algorithm::iequals(a, b); }
 
-// Names that a Connection field declares as belonging to the connection.
+// Names of the hop-by-hop fields listed in Connection fields.
 std::vector<std::string> namesInConnection(const HttpHeaders& headers)
 {
     std::vector<std::string> names;
--- a/src/http/HttpHeaders.h
+++ b/src/http/HttpHeaders.h
@@ -1,4 +1,4 @@
-// Header fields of an HTTP message, in order; names compare without regard to case.
+// Header fields of an HTTP message in their order. Names are compared case-insensitively.
 #pragma once
 
 #include <optional>
@@ -26,8 +26,8 @@
     std::optional<std::string_view> find(std::string_view name) const;
     const std::vector<HttpHeader>& fields() const { return m_fields; }
 
-    // The fields that may be passed on by an intermediary: without those of one connection (RFC 9110, 7.6.1), without
-    // the message's length and host, which the next hop's message gets anew.
+    // The fields that an intermediary may forward. Leaves out hop-by-hop fields (RFC 9110, 7.6.1) and the message's
+    // length and host, which are set anew for the next hop.
     HttpHeaders endToEnd() const;
 
 private:
--- a/src/http/HttpQuestion.cpp
+++ b/src/http/HttpQuestion.cpp
@@ -45,7 +45,7 @@
 {
     m_isAnswered = true;
     m_timer.cancel();
-    // The connection becomes idle, if it does, once this callback has returned.
+    // The connection can become idle only after this callback returns, so the result is reported later.
     boost::asio::post(m_ioContext, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
             self->settle({ &self->m_answer, "" });
--- a/src/http/HttpQuestion.h
+++ b/src/http/HttpQuestion.h
@@ -1,11 +1,11 @@
-// One request on a client connection, with a time limit for the whole answer.
+// One request on a client connection, with a timeout for the complete response.
 //
 //     auto question = HttpQuestion::ask(ioContext, connection, request, limit, [](const HttpOutcome& outcome) {
 //         if (outcome.answer) ...
 //     });
 //
-// The callback is called at most once, and not after the question has gone. After an answer the connection may be idle
-// and carry the next question; in every other case it is closed.
+// The callback is called at most once, and never after this object is destroyed. After a response the connection may be
+// idle and carry the next request; in every other case it is closed.
 // Not thread-safe: used on the thread that runs the io_context. Owned by its user.
 #pragma once
 
@@ -17,9 +17,9 @@
 namespace lupinknot::internal {
 
 struct HttpOutcome {
-    // Null when no whole answer came in time.
+    // Null if no complete response arrived in time.
     const HttpResponse* answer { nullptr };
-    // Why there is none, for logs.
+    // Why there is no response, for logs.
     std::string_view problem;
 };
 
--- a/src/http/HttpRequest.h
+++ b/src/http/HttpRequest.h
@@ -1,4 +1,4 @@
-// One request as it was received, or as it is to be sent.
+// One HTTP request, received or to be sent.
 #pragma once
 
 #include "http/HttpHeaders.h"
--- a/src/http/HttpResponse.h
+++ b/src/http/HttpResponse.h
@@ -1,4 +1,4 @@
-// One response: whole, or the head of a streamed one.
+// One HTTP response: complete, or the status and header of a streamed one.
 #pragma once
 
 #include "http/HttpHeaders.h"
--- a/src/http/HttpServer.cpp
+++ b/src/http/HttpServer.cpp
@@ -14,7 +14,7 @@
 namespace net = boost::asio;
 using tcp = net::ip::tcp;
 
-// Accepts connections and knows the open ones. Lives as long as the server or any of its sessions.
+// Accepts connections and tracks the open ones. Lives as long as the server or any of its sessions.
 class HttpServer::Listener : public HttpSessionOwner, public std::enable_shared_from_this<Listener> {
 public:
     Listener(net::io_context& ioContext, HttpServerSettings settings, Handler handler)
@@ -31,7 +31,7 @@
         const auto bound = settings();
         const auto address = net::ip::make_address(bound->address, error);
         if (error)
-            return "the address " + bound->address + " is not an IP number";
+            return "the address " + bound->address + " is not an IP address";
         const tcp::endpoint endpoint(address, static_cast<unsigned short>(bound->port));
         m_acceptor.open(endpoint.protocol(), error);
         if (!error)
@@ -123,7 +123,7 @@
         if (m_isClosed)
             return;
         if (error) {
-            logWarning(LogPart::Listener, "accept failed: " + error.message() + ".");
+            logWarning(LogPart::Listener, "cannot accept a connection: " + error.message() + ".");
         } else {
             open(std::move(socket));
         }
--- a/src/http/HttpServer.h
+++ b/src/http/HttpServer.h
@@ -1,10 +1,10 @@
-// A bounded HTTP/1.1 listener.
+// An HTTP/1.1 server with limits on sizes, times and connections.
 //
-// It stands on Boost.Beast, the nearest kin of cpprestsdk's listener, because that one bounds neither the header, nor
-// the time in which a request has to arrive, nor the number of connections (docs/LISTENER.md has the measurements).
+// It is built on Boost.Beast because cpprestsdk's listener limits neither the header size, nor the time in which a
+// request must arrive, nor the number of connections (see docs/LISTENER.md).
 //
 //     HttpServer server(ioContext, { .address = "127.0.0.1", .port = 8080 }, handler);
-//     auto started = server.start();                      // An error when the address cannot be bound.
+//     auto started = server.start();                      // An error message if the address cannot be bound.
 #pragma once
 
 #include "http/HttpServerSettings.h"
@@ -29,19 +29,19 @@
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
 
-    // Binds and listens. Returns what went wrong, or nothing.
+    // Binds and listens. Returns an error message, or nullopt on success.
     std::optional<std::string> start();
-    // The port that was bound, also when the settings asked for any (0).
+    // The bound port, also if the settings let the system choose one (0).
     unsigned short port() const;
-    // Takes no more connections; open ones finish what they have begun and are closed after it.
+    // Stops accepting connections. Open ones complete their current request and are then closed.
     void stopAccepting();
-    // Replaces the limits and times that bind callers; the address and the port stay.
+    // Replaces the limits and timeouts for callers; the address and the port stay.
     void changeSettings(HttpServerSettings);
-    // From here on each answer is the last one on its connection; new connections are still taken.
+    // From now on each connection is closed after its next response. New connections are still accepted.
     void announceStop();
-    // Closes the connections on which no request has begun.
+    // Closes the connections on which no request has started.
     void closeIdleConnections();
-    // Closes every connection at once with a reset, as if the process had died.
+    // Resets all connections immediately, as if the process had crashed.
     void abortConnections();
     std::size_t connectionCount() const;
     // Connections with a request whose response is not complete.
--- a/src/http/HttpServerSettings.h
+++ b/src/http/HttpServerSettings.h
@@ -1,4 +1,4 @@
-// Limits of an HttpServer. Those that bind callers can change while it runs (HttpServer::changeSettings).
+// Limits of an HttpServer. The limits for callers can change while it runs (HttpServer::changeSettings).
 #pragma once
 
 #include "common/ByteSizes.h"
@@ -14,16 +14,17 @@
     std::int64_t maxConnections { 4096 };
     std::int64_t maxHeaderBytes { 16 * kibibyte };
     std::int64_t maxBodyBytes { 4 * mebibyte };
-    // Time for a whole request head or body to arrive, counted from its first byte and not renewed by each byte.
+    // Time in which a complete request header or body must arrive. It starts at the first byte; later bytes do not
+    // extend it.
     Milliseconds headerTimeout { 10000 };
     Milliseconds bodyTimeout { 20000 };
-    // Time that a connection may rest between two requests.
+    // Time that a connection may be idle between two requests.
     Milliseconds idleTimeout { 60000 };
-    // Time for one flush to be taken by the reader.
+    // Time in which the peer must accept one write.
     Milliseconds writeTimeout { 30000 };
 };
 
-// The usual limits at an address.
+// Default limits with this address.
 inline HttpServerSettings listenAt(const SocketAddress& address)
 {
     HttpServerSettings settings;
--- a/src/http/HttpSession.cpp
+++ b/src/http/HttpSession.cpp
@@ -46,8 +46,8 @@
     return refusal;
 }
 
-// How long a caller may count on the connection, in whole seconds and shorter than it is kept, because what the caller
-// sends takes a while to arrive.
+// Keep-Alive header: how long the caller may reuse the idle connection, in whole seconds. It is shorter than the idle
+// timeout, because the caller's next request takes time to arrive.
 std::string keepAliveText(const HttpServerSettings& settings)
 {
     constexpr std::int64_t millisecondsInSecond = 1000;
@@ -64,7 +64,7 @@
 
 } // namespace
 
-// Lives as long as a handler or the session holds it; the session itself may be gone by then.
+// Lives as long as a handler or the session holds it; may outlive the session.
 class HttpSession::Exchange final : public HttpExchange, public std::enable_shared_from_this<Exchange> {
 public:
     Exchange(const std::shared_ptr<HttpSession>& session, HttpRequest request)
@@ -90,7 +90,7 @@
 
     void wake() override
     {
-        // One pending wake is enough, however many tokens come before it is served.
+        // One pending wake-up is enough, however many tokens arrive before it runs.
         if (m_isWakePending.exchange(true))
             return;
         post([self = shared_from_this()](HttpSession& session) {
@@ -117,7 +117,7 @@
         });
     }
 
-    // The rest is called on the strand only.
+    // The following methods are called on the strand only.
     bool isAnswered() const { return m_isAnswered; }
 
     void setAnswered()
@@ -165,7 +165,8 @@
 
 HttpSession::~HttpSession()
 {
-    // A session that still has an exchange goes with its io_context; whoever would hear of it may be gone already.
+    // A session that still has an exchange is destroyed with its io_context. The handler may already be destroyed, so
+    // it is not notified.
     m_owner->sessionClosed(this);
 }
 
@@ -200,7 +201,7 @@
     });
 }
 
-// Waits for the first byte of a request, so that the time for its header does not count the rest before it.
+// Waits for the first byte of a request, so that the header timeout does not include the idle time before it.
 void HttpSession::awaitRequest()
 {
     if (m_buffer.size() > 0) {
@@ -252,7 +253,7 @@
     m_readTimer.expires_after(time);
     m_readTimer.async_wait([weak = weak_from_this(), number = ++m_readNumber](beast::error_code error) {
         const auto self = weak.lock();
-        // The read may have ended while this call was on its way.
+        // The read may have completed while this callback was queued.
         if (error || !self || self->m_readNumber != number)
             return;
         self->m_isReadLate = true;
@@ -284,7 +285,7 @@
 {
     ++m_readNumber;
     m_readTimer.cancel();
-    // A connection that closes, or idles into its time limit, between two requests asked for nothing.
+    // A connection that closes or times out between two requests has sent no request that needs a response.
     const bool isIdle = !m_parser->got_some() && m_buffer.size() == 0;
     if (isIdle || (hasPeerLeft(error) && !m_isReadLate)) {
         close();
@@ -330,8 +331,8 @@
         });
 }
 
-// Closing a connection with unread input resets it, and the reset can destroy the refusal before the peer reads it. So
-// the rest of a refused request is read and dropped, for a short time and up to a limit.
+// Closing a connection with unread input resets it, and the reset can discard the error response before the peer reads
+// it. So the rest of a refused request is read and discarded, within limits of time and size.
 void HttpSession::beginDrain()
 {
     beast::error_code ignored;
@@ -391,7 +392,7 @@
         net::async_write(m_stream, http::make_chunk(net::buffer(m_piece)), written);
         return;
     }
-    // The last piece and the end of the body go out together.
+    // The last piece and the terminating chunk are sent in one write.
     std::string end;
     if (!m_piece.empty()) {
         char length[20];
@@ -437,7 +438,7 @@
     m_exchangeHold.cancel();
 }
 
-// While a request is being handled nothing is read, so that a peer's leaving has to be looked for.
+// Nothing is read while a request is being handled, so a disconnect of the peer must be detected separately.
 void HttpSession::watchPeer()
 {
     m_stream.socket().async_wait(
@@ -456,7 +457,7 @@
     socket.non_blocking(true, error);
     socket.receive(net::buffer(&byte, 1), net::ip::tcp::socket::message_peek, error);
     if (error == net::error::would_block) {
-        // The readiness was that of bytes that have been read already.
+        // The socket was reported readable for bytes that have already been read.
         watchPeer();
         return;
     }
--- a/src/http/HttpSession.h
+++ b/src/http/HttpSession.h
@@ -1,4 +1,4 @@
-// One connection of an HttpServer: reads a request, has it handled, writes the response, and so on.
+// One connection of an HttpServer: reads a request, passes it to the handler, writes the response, and repeats.
 #pragma once
 
 #include "http/HttpExchange.h"
@@ -22,16 +22,16 @@
 class HttpSessionOwner {
 public:
     virtual ~HttpSessionOwner() = default;
-    // The settings in force; a change does not touch those that a session holds already.
+    // The current settings. A change does not affect a settings object that a session already holds.
     virtual std::shared_ptr<const HttpServerSettings> settings() const = 0;
     virtual bool isStopping() const = 0;
     virtual void handle(const std::shared_ptr<HttpExchange>&) = 0;
     virtual void sessionClosed(HttpSession*) = 0;
 };
 
-// All state is touched on the connection's strand only. Each request gets an exchange of its own, which outlives the
-// session where a handler still holds it. Owned by its own pending operations and, while a request is being handled and
-// no other may be pending, by the wait on m_exchangeHold.
+// All state is accessed on the connection's strand only. Each request has its own exchange, which outlives the session
+// if a handler still holds it. The session is owned by its pending operations and, while a request is being handled and
+// no other operation may be pending, by the wait on m_exchangeHold.
 class HttpSession : public std::enable_shared_from_this<HttpSession> {
 public:
     HttpSession(boost::asio::ip::tcp::socket, std::shared_ptr<HttpSessionOwner>);
@@ -45,7 +45,7 @@
     void abort();
     // Closes the connection if no request has begun on it. Thread-safe.
     void closeIfIdle();
-    // True from the request's last byte to the response's. Thread-safe.
+    // True from the last byte of a request to the last byte of its response. Thread-safe.
     bool isBusy() const { return m_isBusy; }
 
 private:
@@ -83,7 +83,7 @@
     std::optional<StreamHead> m_head;
     std::optional<StreamHeadSerializer> m_headSerializer;
     std::shared_ptr<Exchange> m_exchange;
-    // A wait without end that owns the session. Unlike a pointer to itself it goes with the io_context.
+    // An endless wait that owns the session. Unlike a shared pointer to itself, it is released with the io_context.
     boost::asio::steady_timer m_exchangeHold;
     std::shared_ptr<HttpBodySource> m_source;
     std::string m_piece;
@@ -92,10 +92,10 @@
     bool m_keepAlive { false };
     std::atomic<bool> m_isBusy { false };
     bool m_mustDrain { false };
-    // True while the connection rests between two requests.
+    // True while the connection is idle between two requests.
     bool m_isResting { false };
-    // The stream's own time limit closes the connection, after which no refusal can be sent; this one only ends the
-    // read.
+    // The stream's built-in timeout closes the connection, so that no error response could be sent. This timer only
+    // cancels the read.
     boost::asio::steady_timer m_readTimer;
     unsigned m_readNumber { 0 };
     bool m_isReadLate { false };
--- a/src/http/JsonError.cpp
+++ b/src/http/JsonError.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::int64_t millisecondsInSecond = 1000;
 
-// Retry-After counts whole seconds (RFC 9110, 10.2.3), so a part of one is rounded up.
+// Retry-After is in whole seconds (RFC 9110, 10.2.3); fractions are rounded up.
 std::string wholeSeconds(Milliseconds time)
 {
     return std::to_string((time.count() + millisecondsInSecond - 1) / millisecondsInSecond);
--- a/src/http/JsonError.h
+++ b/src/http/JsonError.h
@@ -1,4 +1,4 @@
-// The JSON body of every refusal: `{"error": {"code", "message", "outcome"?, "field"?}}`.
+// The JSON body of every error response: `{"error": {"code", "message", "outcome"?, "field"?}}`.
 #pragma once
 
 #include "http/HttpResponse.h"
@@ -9,20 +9,20 @@
 
 struct JsonError {
     unsigned status { 500 };
-    // A stable word for programs.
+    // A stable identifier for programs.
     std::string code;
-    // A sentence for people: what was expected, what came, what to do.
+    // A message for people: what was expected, what was received, what to do.
     std::string message;
-    // The field or limit that is at fault, if there is one.
+    // The field or limit that caused the error; empty if there is none.
     std::string field;
     RunOutcome outcome { RunOutcome::NotRun };
-    // When a new try makes sense.
+    // Time after which a retry makes sense.
     std::optional<Milliseconds> retryAfter;
 };
 
 std::string jsonBody(const JsonError&);
 
-// A whole response with the status, the outcome and, where a new try makes sense, its time.
+// A complete response with the status, the outcome and, if a retry makes sense, the Retry-After header.
 HttpResponse errorResponse(const JsonError&);
 
 } // namespace lupinknot::internal
--- a/src/http/SocketAddress.h
+++ b/src/http/SocketAddress.h
@@ -1,4 +1,4 @@
-// An IP number and a port.
+// An IP address and a port.
 #pragma once
 
 #include <cstdint>
--- a/src/http/SseParser.h
+++ b/src/http/SseParser.h
@@ -1,4 +1,4 @@
-// Splits a stream of server-sent events into events.
+// Parses a stream of server-sent events (SSE).
 #pragma once
 
 #include "common/ByteSizes.h"
@@ -14,14 +14,15 @@
     std::string data;
 };
 
-// Takes the stream in pieces of any size. Comments and fields that are not listed above are skipped. Not thread-safe.
+// Accepts the stream in pieces of any size. Comments, and fields other than those of SseEvent, are skipped. Not
+// thread-safe.
 class SseParser {
 public:
-    // An event may not be larger than this, in bytes.
+    // Maximum size of an event, in bytes.
     static constexpr std::size_t maxEventBytes = mebibyte;
 
-    // Appends the events that the piece completes. Returns false when an event is too large; the stream is then of no
-    // more use.
+    // Appends the events that the piece completes. Returns false if an event is too large; the parser must not be used
+    // after that.
     bool feed(std::string_view piece, std::vector<SseEvent>& events);
 
 private:
--- a/test/HttpServerTest.cpp
+++ b/test/HttpServerTest.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-// Runs a server on threads of its own, and keeps each exchange until the test answers it.
+// Runs a server on its own threads and keeps each exchange until the test responds to it.
 class HeldServer {
 public:
     explicit HeldServer(HttpServerSettings settings = {})
@@ -83,7 +83,7 @@
     std::vector<std::thread> m_threads;
 };
 
-// A body that never ends, in large pieces.
+// An endless body in large pieces.
 class EndlessSource final : public HttpBodySource {
 public:
     HttpBodyPiece next() override
@@ -122,7 +122,8 @@
     STRCMP_EQUAL("hi", received.body.c_str());
 }
 
-// Once the peer has sent more, nothing is waited for on the connection; it must stay open all the same.
+// After a peer sends its next request early, the server stops watching for a disconnect. No wait is then pending on the
+// connection, but it must stay open.
 TEST(HttpServer, AnswersAPeerThatHasSentItsNextRequestAlready)
 {
     HeldServer server;
@@ -217,7 +218,8 @@
     server.waitForGone();
 }
 
-// A reader that takes nothing stops the source; its connection is given up when the time for a flush is over.
+// The server must stop pulling from the source while the peer does not read, and close the connection after the write
+// timeout.
 TEST(HttpServer, DoesNotPullForAReaderThatTakesNothing)
 {
     constexpr std::size_t moreThanSocketBuffers = 64 * mebibyte;
@@ -230,12 +232,12 @@
     exchange->stream({ 200, {}, {} }, source);
     server.waitForGone();
     CHECK_TEXT(source->produced < moreThanSocketBuffers,
-        "expected the source to be left alone while the reader takes nothing");
+        "expected no further pulls from the source while the peer does not read");
 }
 
 TEST(HttpServer, RefusesAnAddressThatIsNotANumber)
 {
     boost::asio::io_context ioContext;
     HttpServer server(ioContext, { .address = "nowhere" }, {});
-    STRCMP_EQUAL("the address nowhere is not an IP number", server.start().value_or("").c_str());
+    STRCMP_EQUAL("the address nowhere is not an IP address", server.start().value_or("").c_str());
 }
--- a/test/RawConnection.h
+++ b/test/RawConnection.h
@@ -1,4 +1,4 @@
-// A plain TCP connection for tests that send what no proper client would.
+// A plain TCP connection for tests that send malformed or incomplete requests.
 #pragma once
 
 #include <boost/asio/connect.hpp>
@@ -10,7 +10,7 @@
 
 namespace lupinknot::internal {
 
-// Not thread-safe. Every call waits.
+// Not thread-safe. All calls block.
 class RawConnection {
 public:
     explicit RawConnection(unsigned short port)
@@ -25,7 +25,7 @@
         boost::asio::write(m_socket, boost::asio::buffer(text), ignored);
     }
 
-    // Reads until the text has come or the peer closes; returns all that came.
+    // Reads until the text has arrived or the peer closes; returns everything received so far.
     std::string readUntil(const std::string& text)
     {
         char piece[4096];
@@ -37,7 +37,7 @@
         return m_received;
     }
 
-    // Reads until the peer closes.
+    // Reads until the peer closes the connection.
     std::string readAll() { return readUntil(std::string(1, '\0')); }
 
     void close() { m_socket.close(); }
