--- a/src/peer/PeerConnection.cpp
+++ b/src/peer/PeerConnection.cpp
@@ -19,7 +19,7 @@
 
 nghttp2_nv header(const char* name, const char* value)
 {
-    // nghttp2 copies both; its interface lacks the const.
+    // nghttp2 copies both and does not modify them; its interface is not const-correct.
     auto* nameBytes = reinterpret_cast<std::uint8_t*>(const_cast<char*>(name));
     auto* valueBytes = reinterpret_cast<std::uint8_t*>(const_cast<char*>(value));
     return { nameBytes, valueBytes, std::strlen(name), std::strlen(value), NGHTTP2_NV_FLAG_NONE };
@@ -36,7 +36,7 @@
 
 } // namespace
 
-// What nghttp2 calls back. The user data is the connection.
+// Callbacks for nghttp2. The user data is the connection.
 struct PeerConnection::Callbacks {
     static PeerConnection& self(void* userData) { return *static_cast<PeerConnection*>(userData); }
 
@@ -140,7 +140,7 @@
     return true;
 }
 
-// The stream stays open for as long as the connection; its data never ends.
+// The stream stays open as long as the connection; neither side ends its data.
 void PeerConnection::openStream()
 {
     nghttp2_data_provider provider {};
@@ -160,7 +160,8 @@
     if (m_isClosed)
         return;
     if (m_queue.size() + frame.size() > maxQueuedBytes) {
-        logWarning(LogPart::Journal, "a peer takes nothing; its connection is closed.");
+        logWarning(LogPart::Journal,
+            "the send queue of a peer connection is full because the peer does not read; the connection is closed.");
         closeNow();
         return;
     }
--- a/src/peer/PeerConnection.h
+++ b/src/peer/PeerConnection.h
@@ -1,4 +1,4 @@
-// One connection between two daemons: messages both ways over one HTTP/2 stream, by nghttp2.
+// One connection between two daemons. It carries messages in both directions over one HTTP/2 stream, using nghttp2.
 #pragma once
 
 #include "common/ByteSizes.h"
@@ -18,7 +18,8 @@
 
 class PeerConnection;
 
-// Calls come on the connection's strand, one at a time. closed() comes once, and nothing after it.
+// Receives the connection's events. Methods are called one at a time on the connection's strand. closed() is called
+// once, as the last one.
 class PeerConnectionOwner {
 public:
     virtual ~PeerConnectionOwner() = default;
@@ -31,9 +32,9 @@
     Acceptor,
 };
 
-// Thread-safe: send() and close() post to the strand, everything else happens there. Owned by its pending operations
-// and by whoever holds it. Messages are sent in order; a connection whose peer takes nothing is closed when its queue
-// is full.
+// Thread-safe: public methods post to the strand, and all other work runs there. Owned by its pending operations and by
+// its users. Messages are sent in order. If the peer does not read, the connection is closed when its send queue is
+// full.
 class PeerConnection : public std::enable_shared_from_this<PeerConnection> {
 public:
     // The socket's executor must be a strand.
@@ -45,7 +46,7 @@
     void start();
     void send(const wire::Envelope&);
     void close();
-    // Bytes handed to the system so far, HTTP/2 framing included. Thread-safe.
+    // Bytes written to the socket so far, including HTTP/2 framing. Thread-safe.
     std::uint64_t sentBytes() const { return m_sentBytes; }
 
 private:
@@ -71,7 +72,7 @@
     std::int32_t m_streamId { 0 };
     std::vector<std::uint8_t> m_readBuffer;
     std::string m_incoming;
-    // What the stream's data is taken from.
+    // Framed messages that the stream has not sent yet.
     std::string m_queue;
     std::size_t m_queueOffset { 0 };
     bool m_isDeferred { false };
--- a/src/peer/PeerHandler.h
+++ b/src/peer/PeerHandler.h
@@ -1,4 +1,4 @@
-// Hears of the other VMs.
+// Receives events about the other VMs of the cluster.
 #pragma once
 
 #include <cstdint>
@@ -10,19 +10,19 @@
 
 namespace lupinknot::internal {
 
-// Who is at the other end, as it said of itself.
+// The VM at the other end of a link, as described by its Hello.
 struct PeerIdentity {
     std::string vm;
     std::string zone;
     std::uint64_t incarnation { 0 };
     std::string callerAddress;
     std::uint32_t callerPort { 0 };
-    // Numbers the links of this process, so that the end of an old one is not taken for that of a newer one.
+    // Number of the link in this process, so that the end of an old link is not mistaken for the end of a newer one.
     std::uint64_t link { 0 };
 };
 
-// Calls come from any thread; those about one link come one at a time and in order, those about two links of
-// one peer may cross.
+// Methods are called on any thread. Calls for one link come one at a time and in order; calls for two links of the same
+// peer may overlap.
 class PeerHandler {
 public:
     virtual ~PeerHandler() = default;
--- a/src/peer/PeerNetwork.cpp
+++ b/src/peer/PeerNetwork.cpp
@@ -167,7 +167,7 @@
         });
 }
 
-// Dials for ever: at once when a connection ends, and again after a pause when there is none.
+// Keeps the peer connected until stop(): after each attempt it checks every reconnectInterval whether to dial again.
 void PeerNetwork::dial(const PeerSettings& peer)
 {
     const auto socket = std::make_shared<tcp::socket>(net::make_strand(m_ioContext));
@@ -224,8 +224,8 @@
     connection->send(envelope);
 }
 
-// A peer that stands still takes connections and says nothing. One at a time waits for it; the heartbeat ends that one
-// when its time is over.
+// A frozen peer accepts connections but never sends a Hello. At most one connection to it may be open at a time; the
+// heartbeat check closes that connection after the silence timeout.
 bool PeerNetwork::mayDial(const PeerSettings& peer) const
 {
     const std::lock_guard lock(m_mutex);
@@ -248,8 +248,8 @@
 void PeerNetwork::greeted(const std::shared_ptr<PeerConnection>& connection, const wire::Envelope& envelope)
 {
     if (!isWelcome(envelope)) {
-        logWarning(
-            LogPart::Membership, "a stranger is refused: another cluster or secret, or a VM that is not a peer.");
+        logWarning(LogPart::Membership,
+            "a peer connection is refused: expected a Hello from a configured peer with the same cluster and secret.");
         connection->close();
         return;
     }
@@ -260,7 +260,7 @@
     std::shared_ptr<PeerConnection> older;
     {
         const std::lock_guard lock(m_mutex);
-        // A VM that comes back before its old connection was seen to end replaces it.
+        // If a VM reconnects before the end of its old connection is detected, the new connection replaces the old one.
         if (const auto* link = findUp(identity.vm))
             older = link->connection;
         const auto link = m_links.find(connection.get());
--- a/src/peer/PeerNetwork.h
+++ b/src/peer/PeerNetwork.h
@@ -1,7 +1,8 @@
-// The connections to all other VMs of the cluster: dialled, checked, kept alive by heartbeats, and dialled again.
+// The connections to all other VMs of the cluster: opens and authenticates them, monitors them with heartbeats, and
+// reconnects.
 //
-// Of each pair the VM with the smaller name dials. Each side begins with a Hello; one that does not fit (another
-// cluster, another secret, a name that is not among the peers) closes the connection.
+// In each pair, the VM whose name sorts first dials. Each side starts with a Hello. A Hello with another cluster,
+// another secret or a name that is not among the peers closes the connection.
 #pragma once
 
 #include "peer/PeerConnection.h"
@@ -20,32 +21,33 @@
 
 namespace lupinknot::internal {
 
-// What this VM says of itself, and whom it knows.
+// The identity of this VM, and the peers it may connect to.
 struct PeerNetworkSettings {
     ClusterSettings cluster;
     std::vector<PeerSettings> peers;
     PeerIdentity self;
 };
 
-// Thread-safe, under one lock; the handler is called without it.
+// Thread-safe: one lock guards the state; the handler is called without holding it.
 class PeerNetwork final : public PeerConnectionOwner, public std::enable_shared_from_this<PeerNetwork> {
 public:
     // The io_context and the clock must outlive the network.
     PeerNetwork(boost::asio::io_context&, const Clock&, PeerNetworkSettings);
 
-    // Binds and dials. The handler must outlive stop(). Returns what went wrong, or nothing.
+    // Binds and dials. The handler must stay valid until stop() has returned. Returns an error message, or nullopt on
+    // success.
     std::optional<std::string> start(PeerHandler&);
-    // Closes all connections; the handler is not called any more.
+    // Closes all connections. The handler is no longer called.
     void stop();
     unsigned short port() const { return m_port; }
 
-    // Sends to a VM that is up. Returns false when it is not; a message that was taken can still be lost with its
-    // connection.
+    // Sends to a connected VM. Returns false if the VM is not connected. An accepted message can still be lost when the
+    // connection fails.
     bool send(const std::string& vm, const wire::Envelope&);
     void broadcast(const wire::Envelope&);
     std::optional<PeerIdentity> find(const std::string& vm) const;
     std::vector<PeerIdentity> up() const;
-    // Bytes sent to all peers so far.
+    // Bytes sent to all peers so far, including on closed connections.
     std::uint64_t sentBytes() const;
 
     void messageArrived(const std::shared_ptr<PeerConnection>&, const wire::Envelope&) override;
@@ -57,7 +59,7 @@
         // Set by the peer's Hello.
         std::optional<PeerIdentity> identity;
         Milliseconds lastHeard { 0 };
-        // The peer that was dialled; empty for a link that was accepted.
+        // Name of the dialled peer; empty for an accepted link.
         std::string dialled;
     };
 
@@ -79,7 +81,7 @@
     boost::asio::steady_timer m_heartbeatTimer;
     unsigned short m_port { 0 };
     mutable std::mutex m_mutex;
-    // All that follows is under the lock.
+    // The following members are guarded by m_mutex.
     PeerHandler* m_handler { nullptr };
     std::map<PeerConnection*, Link> m_links;
     std::uint64_t m_closedBytes { 0 };
--- a/src/peer/PeerSettings.h
+++ b/src/peer/PeerSettings.h
@@ -1,4 +1,4 @@
-// How the VMs of one cluster find and trust each other.
+// How the VMs of a cluster find and authenticate each other.
 #pragma once
 
 #include "http/SocketAddress.h"
@@ -9,14 +9,14 @@
 
 struct ClusterSettings {
     std::string name { "lupinknot" };
-    // Refuses VMs of other clusters and strangers by mistake. It crosses the network as it is: whoever can listen there
-    // can read it.
+    // Protects against accidental connections from VMs of other clusters and other programs. It is sent in plain text:
+    // anyone who can read the network traffic can read it.
     std::string secret;
-    // Where other VMs reach this one.
+    // Address and port at which other VMs reach this VM.
     std::string address { "127.0.0.1" };
     std::int64_t port { 0 };
     Milliseconds heartbeatInterval { 200 };
-    // A peer that has sent nothing for this long counts as lost.
+    // Timeout after which a peer that has sent nothing is considered lost.
     Milliseconds silence { 1000 };
     Milliseconds reconnectInterval { 100 };
 };
--- a/test/PeerNetworkTest.cpp
+++ b/test/PeerNetworkTest.cpp
@@ -166,8 +166,8 @@
     CHECK(becomesTrue([this] { return networkA->find("b").has_value(); }));
 }
 
-// A peer that stands still takes connections without a word. Were it dialled again and again, all of them would be
-// greeted when it wakes, each replacing the one before.
+// A frozen peer accepts connections but sends nothing. If it were dialled repeatedly, it would process the Hello of
+// every connection once it resumes, and each link would replace the previous one.
 TEST(PeerNetwork, WaitsForASilentPeerWithOneConnection)
 {
     boost::asio::ip::tcp::acceptor silent(ioContext, { boost::asio::ip::make_address("127.0.0.1"), 0 });
