--- a/src/common/EventLog.cpp
+++ b/src/common/EventLog.cpp
@@ -29,7 +29,7 @@
 
 // For routine and notable lines. A VM receives about 5 requests per second and writes about two routine lines for each.
 constexpr std::array<std::int64_t, 2> linesPerSecond { 200, 400 };
-constexpr std::chrono::milliseconds longestFlush { 200 };
+constexpr std::chrono::milliseconds maxFlushTime { 200 };
 constexpr std::int64_t millisecondsInSecond = 1000;
 
 // The log of this process.
@@ -77,10 +77,10 @@
     }
 }
 
-void put(EventLogState& log, const std::string& line) { BOOST_LOG(*log.logger) << line; }
+void writeRecord(EventLogState& log, const std::string& line) { BOOST_LOG(*log.logger) << line; }
 
 // At the start of a new second, resets the counts and logs how many lines were dropped before. Requires the lock.
-void turnSecond(EventLogState& log)
+void startNewSecond(EventLogState& log)
 {
     const auto second = steadySecond();
     if (second == log.second)
@@ -91,7 +91,7 @@
     if (routine + notable == 0)
         return;
     log.dropped = {};
-    put(log,
+    writeRecord(log,
         "{\"time_ms\":" + std::to_string(wallMilliseconds()) + ",\"vm\":\"" + log.vmName
             + "\",\"event\":\"log.dropped\",\"routine\":" + std::to_string(routine)
             + ",\"notable\":" + std::to_string(notable) + "}");
@@ -136,14 +136,14 @@
         done->condition.notify_all();
     }).detach();
     std::unique_lock lock(done->mutex);
-    done->condition.wait_for(lock, longestFlush, [&done] { return done->isDone; });
+    done->condition.wait_for(lock, maxFlushTime, [&done] { return done->isDone; });
 }
 
 LogEvent::LogEvent(std::string_view name, LogImportance importance)
     : m_importance(importance)
-    , m_isWanted(isStarted.load(std::memory_order_relaxed))
+    , m_isEnabled(isStarted.load(std::memory_order_relaxed))
 {
-    if (!m_isWanted)
+    if (!m_isEnabled)
         return;
     m_line.reserve(256);
     m_line.append("{\"time_ms\":").append(std::to_string(wallMilliseconds()));
@@ -153,7 +153,7 @@
 
 LogEvent& LogEvent::text(std::string_view field, std::string_view value)
 {
-    if (!m_isWanted)
+    if (!m_isEnabled)
         return *this;
     beginField(field);
     m_line.append("\"");
@@ -164,7 +164,7 @@
 
 LogEvent& LogEvent::number(std::string_view field, std::int64_t value)
 {
-    if (!m_isWanted)
+    if (!m_isEnabled)
         return *this;
     beginField(field);
     m_line.append(std::to_string(value));
@@ -173,7 +173,7 @@
 
 LogEvent& LogEvent::flag(std::string_view field, bool value)
 {
-    if (!m_isWanted)
+    if (!m_isEnabled)
         return *this;
     beginField(field);
     m_line.append(value ? "true" : "false");
@@ -184,19 +184,19 @@
 
 void LogEvent::write()
 {
-    if (!m_isWanted)
+    if (!m_isEnabled)
         return;
     m_line.append("}");
     auto& log = state();
     const std::lock_guard lock(log.mutex);
-    turnSecond(log);
+    startNewSecond(log);
     const auto kind = static_cast<std::size_t>(m_importance);
     if (log.written[kind] >= linesPerSecond[kind]) {
         ++log.dropped[kind];
         return;
     }
     ++log.written[kind];
-    put(log, m_line);
+    writeRecord(log, m_line);
 }
 
 } // namespace lupinknot::internal
--- a/src/common/EventLog.h
+++ b/src/common/EventLog.h
@@ -39,7 +39,7 @@
 
     std::string m_line;
     LogImportance m_importance;
-    bool m_isWanted;
+    bool m_isEnabled;
 };
 
 } // namespace lupinknot::internal
--- a/src/common/Log.cpp
+++ b/src/common/Log.cpp
@@ -16,16 +16,16 @@
 
 namespace {
 
-std::atomic<LogLevel> lowestLoggedLevel { LogLevel::Warning };
+std::atomic<LogLevel> minLoggedLevel { LogLevel::Warning };
 
 } // namespace
 
-void initializeLog(LogLevel lowestLevel)
+void initializeLog(LogLevel minLevel)
 {
     namespace expr = boost::log::expressions;
     using Backend = boost::log::sinks::text_ostream_backend;
 
-    lowestLoggedLevel = lowestLevel;
+    minLoggedLevel = minLevel;
     const auto backend = boost::make_shared<Backend>();
     backend->add_stream(boost::shared_ptr<std::ostream>(&std::clog, boost::null_deleter()));
     backend->auto_flush(true);
@@ -39,7 +39,7 @@
 
 void writeLog(LogLevel level, LogPart part, const std::string& sentence)
 {
-    if (level < lowestLoggedLevel.load(std::memory_order_relaxed))
+    if (level < minLoggedLevel.load(std::memory_order_relaxed))
         return;
     thread_local boost::log::sources::logger logger;
     BOOST_LOG(logger) << nameIn(logLevelNames, level) << " " << nameIn(logPartNames, part) << ": " << sentence;
--- a/test/EventLogTest.cpp
+++ b/test/EventLogTest.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 // Much longer than the test needs; reached only when it fails.
-constexpr std::chrono::seconds patience { 20 };
-constexpr int manyLines = 20000;
+constexpr std::chrono::seconds testTimeout { 20 };
+constexpr int eventPairs = 20000;
 // The lines of both kinds allowed in two seconds, because the test may run across the boundary of a second.
-constexpr std::ptrdiff_t mostLines = 2 * 600 + 10;
+constexpr std::ptrdiff_t maxLines = 2 * 600 + 10;
 
 // Redirects standard output to a pipe with a small buffer for the lifetime of the object.
 class PipedOutput {
@@ -61,21 +61,21 @@
 
 TEST_GROUP(EventLog) {};
 
-TEST(EventLog, AReaderThatStandsStillDelaysNobodyAndTheVolumeIsBounded)
+TEST(EventLog, BlockedReaderDoesNotDelayWritersAndLineRateIsLimited)
 {
     PipedOutput output;
     startEventLog("vm1");
     auto written = std::async(std::launch::async, [] {
-        for (int i = 0; i < manyLines; ++i) {
+        for (int i = 0; i < eventPairs; ++i) {
             LogEvent("request.done", LogImportance::Routine).text("request", "r1").number("number", i).write();
             LogEvent("request.refused").text("request", "r1").number("number", i).write();
         }
         stopEventLog();
     });
-    const bool isDone = written.wait_for(patience) == std::future_status::ready;
+    const bool isDone = written.wait_for(testTimeout) == std::future_status::ready;
     const auto text = output.drain();
     CHECK_TEXT(isDone, "writing log lines must not wait for the reader of standard output");
     const auto lines = std::count(text.begin(), text.end(), '\n');
     CHECK_TEXT(lines > 0, "expected some lines after the reader started to read");
-    CHECK_TEXT(lines <= mostLines, "expected at most 200 routine and 400 notable lines per second");
+    CHECK_TEXT(lines <= maxLines, "expected at most 200 routine and 400 notable lines per second");
 }
