--- a/src/http/ClientConnection.cpp
+++ b/src/http/ClientConnection.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::uint32_t maxAnswerHeadBytes = 64 * kibibyte;
+constexpr std::uint32_t maxResponseHeaderBytes = 64 * kibibyte;
 constexpr Milliseconds oneSecond { 1000 };
 
 // TCP keep-alive detects a peer that disappears without closing the connection. The kernel sends a probe per second
@@ -43,13 +43,13 @@
 } // namespace
 
 // Parses a response and forwards its parts to the listener as they arrive.
-class ClientConnection::AnswerParser final : public http::basic_parser<false> {
+class ClientConnection::ResponseParser final : public http::basic_parser<false> {
 public:
-    AnswerParser(const std::weak_ptr<ClientConnectionListener>& listener, bool isHeadRequest)
+    ResponseParser(const std::weak_ptr<ClientConnectionListener>& listener, bool isHeadRequest)
         : m_listener(listener)
     {
         eager(true);
-        header_limit(maxAnswerHeadBytes);
+        header_limit(maxResponseHeaderBytes);
         // Boost 1.74 treats boost::none ("no limit") as a limit of zero bytes.
         body_limit(std::numeric_limits<std::uint64_t>::max());
         if (isHeadRequest)
@@ -127,8 +127,8 @@
     m_requestBytes = serialize(request);
     m_isHeadRequest = request.method == "HEAD";
     m_hasSent = false;
-    m_hasAnswerBytes = false;
-    m_parser = std::make_unique<AnswerParser>(m_listener, m_isHeadRequest);
+    m_hasResponseBytes = false;
+    m_parser = std::make_unique<ResponseParser>(m_listener, m_isHeadRequest);
     if (m_state == State::New) {
         connect();
         return;
@@ -220,7 +220,7 @@
         close();
         return;
     }
-    m_hasAnswerBytes = true;
+    m_hasResponseBytes = true;
     m_received.append(m_readBuffer.data(), size);
     parse();
     if (m_state != State::Closed)
@@ -241,30 +241,30 @@
             return;
         }
         if (m_parser->is_done())
-            answerComplete();
+            responseCompleted();
         else if (error == http::error::need_more || used == 0)
             return;
     }
 }
 
-void ClientConnection::answerComplete()
+void ClientConnection::responseCompleted()
 {
     if (m_parser->isInterim()) {
-        m_parser = std::make_unique<AnswerParser>(m_listener, m_isHeadRequest);
+        m_parser = std::make_unique<ResponseParser>(m_listener, m_isHeadRequest);
         return;
     }
     const bool keepsAlive = m_parser->keep_alive() && !m_parser->need_eof();
-    noteKeepAlive();
+    readKeepAliveTimeout();
     const auto listener = m_listener.lock();
-    const bool wantsNext = listener && listener->answerEnd();
+    const bool mustAwaitNext = listener && listener->answerEnd();
     if (m_state != State::Busy)
         return;
-    if (wantsNext && keepsAlive) {
-        m_hasAnswerBytes = !m_received.empty();
-        m_parser = std::make_unique<AnswerParser>(m_listener, m_isHeadRequest);
+    if (mustAwaitNext && keepsAlive) {
+        m_hasResponseBytes = !m_received.empty();
+        m_parser = std::make_unique<ResponseParser>(m_listener, m_isHeadRequest);
         return;
     }
-    if (wantsNext) {
+    if (mustAwaitNext) {
         fail(ClientFailure::ClosedBeforeAnswer);
         return;
     }
@@ -277,7 +277,7 @@
     m_requestBytes.clear();
 }
 
-void ClientConnection::noteKeepAlive()
+void ClientConnection::readKeepAliveTimeout()
 {
     m_peerIdleTimeout.reset();
     const auto value = m_parser->head().headers.find("Keep-Alive");
@@ -300,7 +300,7 @@
         close();
         return;
     }
-    if (!m_hasAnswerBytes) {
+    if (!m_hasResponseBytes) {
         fail(ClientFailure::ClosedBeforeAnswer);
         return;
     }
@@ -314,7 +314,7 @@
         fail(ClientFailure::Truncated);
         return;
     }
-    answerComplete();
+    responseCompleted();
 }
 
 void ClientConnection::fail(ClientFailure failure)
@@ -332,12 +332,12 @@
 {
     if (m_state == State::Closed)
         return;
-    const bool isAnswerDue = m_state == State::Busy;
+    const bool isResponsePending = m_state == State::Busy;
     m_state = State::Closed;
     m_listener.reset();
     m_connectTimer.cancel();
     boost::system::error_code ignored;
-    if (isAnswerDue)
+    if (isResponsePending)
         m_socket.set_option(net::socket_base::linger(true, 0), ignored);
     m_socket.close(ignored);
 }
--- a/src/http/ClientConnection.h
+++ b/src/http/ClientConnection.h
@@ -88,7 +88,7 @@
         Idle,
         Closed,
     };
-    class AnswerParser;
+    class ResponseParser;
 
     ClientConnection(boost::asio::io_context&, const SocketAddress&, const ClientConnectionSettings&);
 
@@ -99,9 +99,9 @@
     void read();
     void received(boost::system::error_code, std::size_t size);
     void parse();
-    void answerComplete();
+    void responseCompleted();
     void peerClosed(boost::system::error_code);
-    void noteKeepAlive();
+    void readKeepAliveTimeout();
     void fail(ClientFailure);
 
     boost::asio::io_context& m_ioContext;
@@ -115,8 +115,8 @@
     bool m_isHeadRequest { false };
     bool m_isWriting { false };
     bool m_hasSent { false };
-    bool m_hasAnswerBytes { false };
-    std::unique_ptr<AnswerParser> m_parser;
+    bool m_hasResponseBytes { false };
+    std::unique_ptr<ResponseParser> m_parser;
     std::string m_received;
     std::optional<Milliseconds> m_peerIdleTimeout;
     std::array<char, 8192> m_readBuffer;
--- a/src/http/HttpCall.cpp
+++ b/src/http/HttpCall.cpp
@@ -59,8 +59,9 @@
     void send(const HttpRequest& request)
     {
         m_client.request(messageOf(request), m_cancellation.get_token())
-            .then([self = shared_from_this()](
-                      const pplx::task<http_response>& task) { self->guarded([&] { self->headReady(task.get()); }); });
+            .then([self = shared_from_this()](const pplx::task<http_response>& task) {
+                self->reportFailuresOf([&] { self->headerReceived(task.get()); });
+            });
     }
 
     void cancel() override { m_cancellation.cancel(); }
@@ -73,7 +74,7 @@
         return config;
     }
 
-    void headReady(http_response response)
+    void headerReceived(http_response response)
     {
         m_response = std::move(response);
         m_body = m_response.body().streambuf();
@@ -82,14 +83,15 @@
     }
 
     // Reading several bytes would wait until all of them are available. So this waits for the first byte only, and
-    // byteReady() then reads what is available.
+    // firstByteAvailable() then reads what is available.
     void readNext()
     {
-        m_body.getc().then([self = shared_from_this()](
-                               const pplx::task<int>& task) { self->guarded([&] { self->byteReady(task.get()); }); });
+        m_body.getc().then([self = shared_from_this()](const pplx::task<int>& task) {
+            self->reportFailuresOf([&] { self->firstByteAvailable(task.get()); });
+        });
     }
 
-    void byteReady(int byte)
+    void firstByteAvailable(int byte)
     {
         if (byte == concurrency::streams::streambuf<std::uint8_t>::traits::eof()) {
             bodyEnded();
@@ -105,21 +107,21 @@
     {
         // The buffer reaches its end both after a complete body and after some failures; this task distinguishes them.
         m_response.content_ready().then([self = shared_from_this()](const pplx::task<http_response>& task) {
-            self->guarded([&] {
+            self->reportFailuresOf([&] {
                 task.get();
-                self->release()->ended();
+                self->takeListener()->ended();
             });
         });
     }
 
-    template <typename Action> void guarded(Action action)
+    template <typename Action> void reportFailuresOf(Action action)
     {
         try {
             action();
         } catch (const http_exception& error) {
-            release()->failed(failureOf(error), error.what());
+            takeListener()->failed(failureOf(error), error.what());
         } catch (const std::exception& error) {
-            release()->failed(isCancelled() ? HttpCallFailure::Cancelled : HttpCallFailure::Lost, error.what());
+            takeListener()->failed(isCancelled() ? HttpCallFailure::Cancelled : HttpCallFailure::Lost, error.what());
         }
     }
 
@@ -134,7 +136,7 @@
     }
 
     // Gives up the listener when the call ends, because the listener may own the call.
-    std::shared_ptr<HttpCallListener> release() { return std::move(m_listener); }
+    std::shared_ptr<HttpCallListener> takeListener() { return std::move(m_listener); }
 
     bool isCancelled() const { return m_cancellation.get_token().is_canceled(); }
 
--- a/src/http/HttpHeaders.cpp
+++ b/src/http/HttpHeaders.cpp
@@ -16,7 +16,7 @@
 bool isSameName(std::string_view a, std::string_view b) { return boost::algorithm::iequals(a, b); }
 
 // Names of the hop-by-hop fields listed in Connection fields.
-std::vector<std::string> namesInConnection(const HttpHeaders& headers)
+std::vector<std::string> namesInConnectionFields(const HttpHeaders& headers)
 {
     std::vector<std::string> names;
     for (const auto& field : headers.fields()) {
@@ -45,7 +45,7 @@
 
 HttpHeaders HttpHeaders::endToEnd() const
 {
-    const auto declared = namesInConnection(*this);
+    const auto declared = namesInConnectionFields(*this);
     HttpHeaders kept;
     for (const auto& field : m_fields) {
         const auto isField = [&field](std::string_view name) { return isSameName(field.name, name); };
--- a/src/http/HttpQuestion.cpp
+++ b/src/http/HttpQuestion.cpp
@@ -35,20 +35,20 @@
 
 void HttpQuestion::answerHead(const HttpResponse& head)
 {
-    m_answer.status = head.status;
-    m_answer.headers = head.headers;
+    m_response.status = head.status;
+    m_response.headers = head.headers;
 }
 
-void HttpQuestion::answerBody(std::string_view piece) { m_answer.body.append(piece); }
+void HttpQuestion::answerBody(std::string_view piece) { m_response.body.append(piece); }
 
 bool HttpQuestion::answerEnd()
 {
-    m_isAnswered = true;
+    m_isResponseComplete = true;
     m_timer.cancel();
     // The connection can become idle only after this callback returns, so the result is reported later.
     boost::asio::post(m_ioContext, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
-            self->settle({ &self->m_answer, "" });
+            self->report({ &self->m_response, "" });
     });
     return false;
 }
@@ -57,14 +57,14 @@
 
 void HttpQuestion::fail(std::string_view problem)
 {
-    if (m_isAnswered)
+    if (m_isResponseComplete)
         return;
     m_timer.cancel();
     m_connection->close();
-    settle({ nullptr, problem });
+    report({ nullptr, problem });
 }
 
-void HttpQuestion::settle(const HttpOutcome& outcome)
+void HttpQuestion::report(const HttpOutcome& outcome)
 {
     const auto self = shared_from_this();
     if (const auto callback = std::exchange(m_callback, nullptr))
--- a/src/http/HttpQuestion.h
+++ b/src/http/HttpQuestion.h
@@ -41,14 +41,14 @@
 private:
     HttpQuestion(boost::asio::io_context&, std::shared_ptr<ClientConnection>, Callback);
     void fail(std::string_view problem);
-    void settle(const HttpOutcome&);
+    void report(const HttpOutcome&);
 
     boost::asio::io_context& m_ioContext;
     const std::shared_ptr<ClientConnection> m_connection;
     Callback m_callback;
-    HttpResponse m_answer;
+    HttpResponse m_response;
     boost::asio::steady_timer m_timer;
-    bool m_isAnswered { false };
+    bool m_isResponseComplete { false };
 };
 
 } // namespace lupinknot::internal
--- a/src/http/HttpSession.cpp
+++ b/src/http/HttpSession.cpp
@@ -55,7 +55,7 @@
     return "timeout=" + std::to_string(std::max<std::int64_t>(seconds, 1));
 }
 
-bool hasPeerLeft(beast::error_code error)
+bool isDisconnect(beast::error_code error)
 {
     return error == http::error::end_of_stream || error == http::error::partial_message || error == net::error::eof
         || error == net::error::connection_reset || error == net::error::operation_aborted
@@ -181,7 +181,7 @@
         "this VM holds as many connections as its limit allows: " + std::to_string(m_owner->settings()->maxConnections),
         "", RunOutcome::NotRun, Milliseconds { 1000 } };
     net::post(m_stream.get_executor(),
-        [self = shared_from_this(), refusal] { self->writeWhole(errorResponse(refusal), false); });
+        [self = shared_from_this(), refusal] { self->writeBufferedResponse(errorResponse(refusal), false); });
 }
 
 void HttpSession::abort()
@@ -196,7 +196,7 @@
 void HttpSession::closeIfIdle()
 {
     net::post(m_stream.get_executor(), [self = shared_from_this()] {
-        if (self->m_isResting)
+        if (self->m_isIdle)
             self->close();
     });
 }
@@ -205,28 +205,28 @@
 void HttpSession::awaitRequest()
 {
     if (m_buffer.size() > 0) {
-        readHead();
+        readHeader();
         return;
     }
-    m_isResting = true;
+    m_isIdle = true;
     m_stream.expires_never();
-    limitRead(m_owner->settings()->idleTimeout);
+    startReadTimer(m_owner->settings()->idleTimeout);
     m_stream.socket().async_wait(net::ip::tcp::socket::wait_read, [self = shared_from_this()](beast::error_code error) {
-        self->m_isResting = false;
+        self->m_isIdle = false;
         if (error || self->m_isClosed)
             self->close();
         else
-            self->readHead();
+            self->readHeader();
     });
 }
 
-void HttpSession::readHead()
+void HttpSession::readHeader()
 {
     m_parser.emplace();
     m_parser->header_limit(static_cast<std::uint32_t>(m_owner->settings()->maxHeaderBytes));
     m_parser->body_limit(static_cast<std::uint64_t>(m_owner->settings()->maxBodyBytes));
     m_stream.expires_never();
-    limitRead(m_owner->settings()->headerTimeout);
+    startReadTimer(m_owner->settings()->headerTimeout);
     http::async_read_header(
         m_stream, m_buffer, *m_parser, [self = shared_from_this()](beast::error_code error, std::size_t) {
             if (error)
@@ -238,7 +238,7 @@
 
 void HttpSession::readBody()
 {
-    limitRead(m_owner->settings()->bodyTimeout);
+    startReadTimer(m_owner->settings()->bodyTimeout);
     http::async_read(m_stream, m_buffer, *m_parser, [self = shared_from_this()](beast::error_code error, std::size_t) {
         if (error)
             self->refuse(error);
@@ -247,16 +247,16 @@
     });
 }
 
-void HttpSession::limitRead(Milliseconds time)
+void HttpSession::startReadTimer(Milliseconds time)
 {
-    m_isReadLate = false;
+    m_hasReadTimedOut = false;
     m_readTimer.expires_after(time);
     m_readTimer.async_wait([weak = weak_from_this(), number = ++m_readNumber](beast::error_code error) {
         const auto self = weak.lock();
         // The read may have completed while this callback was queued.
         if (error || !self || self->m_readNumber != number)
             return;
-        self->m_isReadLate = true;
+        self->m_hasReadTimedOut = true;
         self->m_stream.cancel();
     });
 }
@@ -287,13 +287,13 @@
     m_readTimer.cancel();
     // A connection that closes or times out between two requests has sent no request that needs a response.
     const bool isIdle = !m_parser->got_some() && m_buffer.size() == 0;
-    if (isIdle || (hasPeerLeft(error) && !m_isReadLate)) {
+    if (isIdle || (isDisconnect(error) && !m_hasReadTimedOut)) {
         close();
         return;
     }
     m_mustDrain = true;
-    const auto reason = m_isReadLate ? beast::error_code(beast::error::timeout) : error;
-    writeWhole(errorResponse(describeReadFailure(reason, *m_owner->settings())), false);
+    const auto reason = m_hasReadTimedOut ? beast::error_code(beast::error::timeout) : error;
+    writeBufferedResponse(errorResponse(describeReadFailure(reason, *m_owner->settings())), false);
 }
 
 void HttpSession::respond(const std::shared_ptr<Exchange>& exchange, HttpResponse response)
@@ -301,10 +301,10 @@
     if (exchange != m_exchange || exchange->isAnswered() || m_isClosed)
         return;
     exchange->setAnswered();
-    writeWhole(std::move(response), m_keepAlive && !m_owner->isStopping());
+    writeBufferedResponse(std::move(response), m_keepAlive && !m_owner->isStopping());
 }
 
-void HttpSession::writeWhole(HttpResponse response, bool keepAlive)
+void HttpSession::writeBufferedResponse(HttpResponse response, bool keepAlive)
 {
     m_response.emplace(static_cast<http::status>(response.status), 11);
     for (const auto& field : response.headers.fields())
@@ -359,19 +359,19 @@
     if (exchange != m_exchange || exchange->isAnswered() || m_source || m_isClosed)
         return;
     m_source = std::move(source);
-    m_head.emplace(static_cast<http::status>(head.status), 11);
+    m_header.emplace(static_cast<http::status>(head.status), 11);
     for (const auto& field : head.headers.fields())
-        m_head->insert(field.name, field.value);
-    m_head->chunked(true);
+        m_header->insert(field.name, field.value);
+    m_header->chunked(true);
     m_keepAlive = m_keepAlive && !m_owner->isStopping();
-    m_head->keep_alive(m_keepAlive);
+    m_header->keep_alive(m_keepAlive);
     if (m_keepAlive)
-        m_head->insert(http::field::keep_alive, keepAliveText(*m_owner->settings()));
-    m_headSerializer.emplace(*m_head);
+        m_header->insert(http::field::keep_alive, keepAliveText(*m_owner->settings()));
+    m_headerSerializer.emplace(*m_header);
     m_isWriting = true;
     m_stream.expires_after(m_owner->settings()->writeTimeout);
     http::async_write_header(
-        m_stream, *m_headSerializer, [self = shared_from_this(), exchange](beast::error_code error, std::size_t) {
+        m_stream, *m_headerSerializer, [self = shared_from_this(), exchange](beast::error_code error, std::size_t) {
             self->pieceWritten(exchange, error, false);
         });
 }
@@ -423,8 +423,8 @@
 {
     exchangeComplete();
     m_source.reset();
-    m_headSerializer.reset();
-    m_head.reset();
+    m_headerSerializer.reset();
+    m_header.reset();
     if (m_keepAlive)
         awaitRequest();
     else
--- a/src/http/HttpSession.h
+++ b/src/http/HttpSession.h
@@ -51,20 +51,20 @@
 private:
     class Exchange;
     using Request = boost::beast::http::request_parser<boost::beast::http::string_body>;
-    using WholeResponse = boost::beast::http::response<boost::beast::http::string_body>;
-    using StreamHead = boost::beast::http::response<boost::beast::http::empty_body>;
-    using StreamHeadSerializer = boost::beast::http::response_serializer<boost::beast::http::empty_body>;
+    using BufferedResponse = boost::beast::http::response<boost::beast::http::string_body>;
+    using StreamHeader = boost::beast::http::response<boost::beast::http::empty_body>;
+    using StreamHeaderSerializer = boost::beast::http::response_serializer<boost::beast::http::empty_body>;
 
     void awaitRequest();
-    void readHead();
+    void readHeader();
     void readBody();
-    void limitRead(Milliseconds);
+    void startReadTimer(Milliseconds);
     void dispatch();
     void refuse(boost::beast::error_code);
     void respond(const std::shared_ptr<Exchange>&, HttpResponse);
     void beginStream(const std::shared_ptr<Exchange>&, const HttpResponse& head, std::shared_ptr<HttpBodySource>);
     void pump(const std::shared_ptr<Exchange>&);
-    void writeWhole(HttpResponse, bool keepAlive);
+    void writeBufferedResponse(HttpResponse, bool keepAlive);
     void beginDrain();
     void drain(std::size_t drained);
     void pieceWritten(const std::shared_ptr<Exchange>&, boost::beast::error_code, bool wasLast);
@@ -79,9 +79,9 @@
     const std::shared_ptr<HttpSessionOwner> m_owner;
     boost::beast::flat_buffer m_buffer;
     std::optional<Request> m_parser;
-    std::optional<WholeResponse> m_response;
-    std::optional<StreamHead> m_head;
-    std::optional<StreamHeadSerializer> m_headSerializer;
+    std::optional<BufferedResponse> m_response;
+    std::optional<StreamHeader> m_header;
+    std::optional<StreamHeaderSerializer> m_headerSerializer;
     std::shared_ptr<Exchange> m_exchange;
     // An endless wait that owns the session. Unlike a shared pointer to itself, it is released with the io_context.
     boost::asio::steady_timer m_exchangeHold;
@@ -93,12 +93,12 @@
     std::atomic<bool> m_isBusy { false };
     bool m_mustDrain { false };
     // True while the connection is idle between two requests.
-    bool m_isResting { false };
+    bool m_isIdle { false };
     // The stream's built-in timeout closes the connection, so that no error response could be sent. This timer only
     // cancels the read.
     boost::asio::steady_timer m_readTimer;
     unsigned m_readNumber { 0 };
-    bool m_isReadLate { false };
+    bool m_hasReadTimedOut { false };
 };
 
 } // namespace lupinknot::internal
--- a/src/http/SseParser.cpp
+++ b/src/http/SseParser.cpp
@@ -6,23 +6,23 @@
 {
     while (!piece.empty()) {
         const auto lineEnd = piece.find('\n');
-        const bool isWhole = lineEnd != std::string_view::npos;
+        const bool isLineComplete = lineEnd != std::string_view::npos;
         m_partialLine.append(piece.substr(0, lineEnd));
         if (m_partialLine.size() + m_event.data.size() > maxEventBytes)
             return false;
-        if (!isWhole)
+        if (!isLineComplete)
             return true;
         std::string_view line = m_partialLine;
         if (!line.empty() && line.back() == '\r')
             line.remove_suffix(1);
-        takeLine(line, events);
+        processLine(line, events);
         m_partialLine.clear();
         piece.remove_prefix(lineEnd + 1);
     }
     return true;
 }
 
-void SseParser::takeLine(std::string_view line, std::vector<SseEvent>& events)
+void SseParser::processLine(std::string_view line, std::vector<SseEvent>& events)
 {
     if (line.empty()) {
         if (m_hasData)
--- a/src/http/SseParser.h
+++ b/src/http/SseParser.h
@@ -26,7 +26,7 @@
     bool feed(std::string_view piece, std::vector<SseEvent>& events);
 
 private:
-    void takeLine(std::string_view line, std::vector<SseEvent>& events);
+    void processLine(std::string_view line, std::vector<SseEvent>& events);
 
     std::string m_partialLine;
     SseEvent m_event;
--- a/test/HttpServerTest.cpp
+++ b/test/HttpServerTest.cpp
@@ -19,9 +19,9 @@
 namespace {
 
 // Runs a server on its own threads and keeps each exchange until the test responds to it.
-class HeldServer {
+class ManualResponseServer {
 public:
-    explicit HeldServer(HttpServerSettings settings = {})
+    explicit ManualResponseServer(HttpServerSettings settings = {})
         : m_work(boost::asio::make_work_guard(m_ioContext))
         , m_server(m_ioContext, std::move(settings),
               [this](const std::shared_ptr<HttpExchange>& exchange) { hold(exchange); })
@@ -31,7 +31,7 @@
             m_threads.emplace_back([this] { m_ioContext.run(); });
     }
 
-    ~HeldServer()
+    ~ManualResponseServer()
     {
         m_exchanges.clear();
         m_ioContext.stop();
@@ -39,8 +39,8 @@
             thread.join();
     }
 
-    HeldServer(const HeldServer&) = delete;
-    HeldServer& operator=(const HeldServer&) = delete;
+    ManualResponseServer(const ManualResponseServer&) = delete;
+    ManualResponseServer& operator=(const ManualResponseServer&) = delete;
 
     HttpServer& server() { return m_server; }
     unsigned short port() const { return m_server.port(); }
@@ -52,14 +52,14 @@
         return m_exchanges[index];
     }
 
-    void noteGone()
+    void notePeerDisconnected()
     {
         const std::lock_guard lock(m_mutex);
         m_isGone = true;
         m_condition.notify_all();
     }
 
-    void waitForGone()
+    void waitForPeerDisconnect()
     {
         std::unique_lock lock(m_mutex);
         m_condition.wait(lock, [this] { return m_isGone; });
@@ -109,9 +109,9 @@
 
 TEST_GROUP(HttpServer) {};
 
-TEST(HttpServer, PassesMethodTargetHeadersAndBody)
+TEST(HttpServer, PassesMethodTargetHeadersAndBodyToHandler)
 {
-    HeldServer server;
+    ManualResponseServer server;
     RawConnection peer(server.port());
     peer.send("PUT /a/b?c=d HTTP/1.1\r\nHost: h\r\nX-One: 1\r\nContent-Length: 2\r\n\r\nhi");
     const auto& received = server.exchange()->request();
@@ -124,9 +124,9 @@
 
 // After a peer sends its next request early, the server stops watching for a disconnect. No wait is then pending on the
 // connection, but it must stay open.
-TEST(HttpServer, AnswersAPeerThatHasSentItsNextRequestAlready)
+TEST(HttpServer, RespondsAfterPeerHasPipelinedItsNextRequest)
 {
-    HeldServer server;
+    ManualResponseServer server;
     RawConnection peer(server.port());
     peer.send(request);
     const auto first = server.exchange(0);
@@ -140,7 +140,7 @@
 
 TEST(HttpServer, RefusesAHeaderThatIsTooLarge)
 {
-    HeldServer server({ .maxHeaderBytes = 1024 });
+    ManualResponseServer server({ .maxHeaderBytes = 1024 });
     RawConnection peer(server.port());
     peer.send("GET / HTTP/1.1\r\nX-Flood: " + std::string(5000, 'x') + "\r\n\r\n");
     const auto received = peer.readAll();
@@ -151,7 +151,7 @@
 
 TEST(HttpServer, RefusesABodyThatIsTooLarge)
 {
-    HeldServer server({ .maxBodyBytes = 1000 });
+    ManualResponseServer server({ .maxBodyBytes = 1000 });
     RawConnection peer(server.port());
     peer.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 200000\r\n\r\n" + std::string(200000, 'x'));
     const auto received = peer.readUntil("bytes");
@@ -159,25 +159,25 @@
     checkContains(received, "limit of 1000 bytes");
 }
 
-TEST(HttpServer, RefusesAHalfSentHeaderInTime)
+TEST(HttpServer, RefusesIncompleteHeaderAfterTimeout)
 {
-    HeldServer server({ .headerTimeout = Milliseconds { 20 } });
+    ManualResponseServer server({ .headerTimeout = Milliseconds { 20 } });
     RawConnection peer(server.port());
     peer.send("GET / HTTP/1.1\r\nX-Half: ");
     checkContains(peer.readAll(), "HTTP/1.1 408");
 }
 
-TEST(HttpServer, RefusesAHalfSentBodyInTime)
+TEST(HttpServer, RefusesIncompleteBodyAfterTimeout)
 {
-    HeldServer server({ .bodyTimeout = Milliseconds { 20 } });
+    ManualResponseServer server({ .bodyTimeout = Milliseconds { 20 } });
     RawConnection peer(server.port());
     peer.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nhalf");
     checkContains(peer.readAll(), "HTTP/1.1 408");
 }
 
-TEST(HttpServer, RefusesWhatIsNotHttp)
+TEST(HttpServer, RefusesMalformedRequest)
 {
-    HeldServer server;
+    ManualResponseServer server;
     RawConnection peer(server.port());
     peer.send("hello there\r\n\r\n");
     checkContains(peer.readAll(), "malformed_request");
@@ -185,7 +185,7 @@
 
 TEST(HttpServer, RefusesConnectionsBeyondItsLimit)
 {
-    HeldServer server({ .maxConnections = 1 });
+    ManualResponseServer server({ .maxConnections = 1 });
     RawConnection first(server.port());
     first.send(request);
     server.exchange(0);
@@ -195,47 +195,47 @@
     checkContains(received, "Retry-After: 1");
 }
 
-TEST(HttpServer, TellsThatAWaitingPeerHasGone)
+TEST(HttpServer, NotifiesHandlerWhenWaitingPeerDisconnects)
 {
-    HeldServer server;
+    ManualResponseServer server;
     RawConnection peer(server.port());
     peer.send(request);
-    server.exchange(0)->onGone([&server] { server.noteGone(); });
+    server.exchange(0)->onGone([&server] { server.notePeerDisconnected(); });
     peer.close();
-    server.waitForGone();
+    server.waitForPeerDisconnect();
 }
 
-TEST(HttpServer, TellsThatTheReaderOfAStreamHasGone)
+TEST(HttpServer, NotifiesHandlerWhenStreamReaderDisconnects)
 {
-    HeldServer server;
+    ManualResponseServer server;
     RawConnection peer(server.port());
     peer.send(request);
     const auto exchange = server.exchange(0);
-    exchange->onGone([&server] { server.noteGone(); });
+    exchange->onGone([&server] { server.notePeerDisconnected(); });
     exchange->stream({ 200, {}, {} }, std::make_shared<EndlessSource>());
     peer.readUntil("xxx");
     peer.close();
-    server.waitForGone();
+    server.waitForPeerDisconnect();
 }
 
 // The server must stop pulling from the source while the peer does not read, and close the connection after the write
 // timeout.
-TEST(HttpServer, DoesNotPullForAReaderThatTakesNothing)
+TEST(HttpServer, StopsPullingFromSourceWhenPeerDoesNotRead)
 {
     constexpr std::size_t moreThanSocketBuffers = 64 * mebibyte;
-    HeldServer server({ .writeTimeout = Milliseconds { 100 } });
+    ManualResponseServer server({ .writeTimeout = Milliseconds { 100 } });
     RawConnection peer(server.port());
     peer.send(request);
     const auto source = std::make_shared<EndlessSource>();
     const auto exchange = server.exchange(0);
-    exchange->onGone([&server] { server.noteGone(); });
+    exchange->onGone([&server] { server.notePeerDisconnected(); });
     exchange->stream({ 200, {}, {} }, source);
-    server.waitForGone();
+    server.waitForPeerDisconnect();
     CHECK_TEXT(source->produced < moreThanSocketBuffers,
         "expected no further pulls from the source while the peer does not read");
 }
 
-TEST(HttpServer, RefusesAnAddressThatIsNotANumber)
+TEST(HttpServer, RefusesAddressThatIsNotAnIpAddress)
 {
     boost::asio::io_context ioContext;
     HttpServer server(ioContext, { .address = "nowhere" }, {});
--- a/test/SseParserTest.cpp
+++ b/test/SseParserTest.cpp
@@ -10,7 +10,7 @@
     std::vector<SseEvent> events;
 };
 
-TEST(SseParser, FindsEventsInPiecesOfAnySize)
+TEST(SseParser, ParsesEventsFromPiecesOfAnySize)
 {
     const std::string stream = "id: g:1\ndata: one\n\n: a comment\nevent: error\ndata: two\r\ndata: lines\r\n\r\n";
     for (const auto byte : stream)
