--- a/src/common/EventLog.cpp
+++ b/src/common/EventLog.cpp
@@ -66,14 +66,14 @@
 
 void appendEscaped(std::string& line, std::string_view value)
 {
-    for (const auto letter : value) {
-        const auto code = static_cast<unsigned char>(letter);
-        if (letter == '"' || letter == '\\')
-            line.append(1, '\\').append(1, letter);
+    for (const auto character : value) {
+        const auto code = static_cast<unsigned char>(character);
+        if (character == '"' || character == '\\')
+            line.append(1, '\\').append(1, character);
         else if (code < 0x20 || code >= 0x7f)
             line.append("?");
         else
-            line.append(1, letter);
+            line.append(1, character);
     }
 }
 
