--- a/src/peer/PeerConnection.cpp
+++ b/src/peer/PeerConnection.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::size_t lengthBytes = 4;
+constexpr std::size_t lengthPrefixBytes = 4;
 constexpr std::uint32_t windowBytes = 4 * 1024 * 1024;
 
 nghttp2_nv header(const char* name, const char* value)
@@ -25,12 +25,12 @@
     return { nameBytes, valueBytes, std::strlen(name), std::strlen(value), NGHTTP2_NV_FLAG_NONE };
 }
 
-std::string frameOf(const wire::Envelope& envelope)
+std::string encodeFrame(const wire::Envelope& envelope)
 {
-    std::string frame(lengthBytes, '\0');
+    std::string frame(lengthPrefixBytes, '\0');
     envelope.AppendToString(&frame);
     boost::endian::store_big_u32(
-        reinterpret_cast<unsigned char*>(frame.data()), static_cast<std::uint32_t>(frame.size() - lengthBytes));
+        reinterpret_cast<unsigned char*>(frame.data()), static_cast<std::uint32_t>(frame.size() - lengthPrefixBytes));
     return frame;
 }
 
@@ -110,7 +110,7 @@
 void PeerConnection::send(const wire::Envelope& envelope)
 {
     boost::asio::post(
-        m_socket.get_executor(), [self = shared_from_this(), frame = frameOf(envelope)] { self->enqueue(frame); });
+        m_socket.get_executor(), [self = shared_from_this(), frame = encodeFrame(envelope)] { self->enqueue(frame); });
 }
 
 void PeerConnection::close()
@@ -207,42 +207,42 @@
                 self->closeNow();
                 return;
             }
-            self->takeInput(self->m_readBuffer.data(), size);
+            self->processInput(self->m_readBuffer.data(), size);
         });
 }
 
-void PeerConnection::takeInput(const std::uint8_t* data, std::size_t size)
+void PeerConnection::processInput(const std::uint8_t* data, std::size_t size)
 {
     if (nghttp2_session_mem_recv(m_session, data, size) < 0) {
         closeNow();
         return;
     }
-    takeMessages();
+    deliverMessages();
     if (m_isClosed)
         return;
     flush();
     read();
 }
 
-void PeerConnection::takeMessages()
+void PeerConnection::deliverMessages()
 {
     const auto owner = m_owner.lock();
     std::size_t offset = 0;
-    while (owner && !m_isClosed && m_incoming.size() - offset >= lengthBytes) {
+    while (owner && !m_isClosed && m_incoming.size() - offset >= lengthPrefixBytes) {
         const auto* start = reinterpret_cast<const unsigned char*>(m_incoming.data()) + offset;
         const std::size_t length = boost::endian::load_big_u32(start);
         if (length > maxMessageBytes) {
             closeNow();
             return;
         }
-        if (m_incoming.size() - offset - lengthBytes < length)
+        if (m_incoming.size() - offset - lengthPrefixBytes < length)
             break;
         wire::Envelope envelope;
-        if (!envelope.ParseFromArray(start + lengthBytes, static_cast<int>(length))) {
+        if (!envelope.ParseFromArray(start + lengthPrefixBytes, static_cast<int>(length))) {
             closeNow();
             return;
         }
-        offset += lengthBytes + length;
+        offset += lengthPrefixBytes + length;
         owner->messageArrived(shared_from_this(), envelope);
     }
     m_incoming.erase(0, offset);
--- a/src/peer/PeerConnection.h
+++ b/src/peer/PeerConnection.h
@@ -61,8 +61,8 @@
     void enqueue(const std::string& frame);
     void flush();
     void read();
-    void takeInput(const std::uint8_t* data, std::size_t size);
-    void takeMessages();
+    void processInput(const std::uint8_t* data, std::size_t size);
+    void deliverMessages();
     void closeNow();
 
     boost::asio::ip::tcp::socket m_socket;
--- a/src/peer/PeerNetwork.cpp
+++ b/src/peer/PeerNetwork.cpp
@@ -72,7 +72,7 @@
     std::shared_ptr<PeerConnection> connection;
     {
         const std::lock_guard lock(m_mutex);
-        const auto* link = findUp(vm);
+        const auto* link = findConnected(vm);
         if (!link)
             return false;
         connection = link->connection;
@@ -90,7 +90,7 @@
 std::optional<PeerIdentity> PeerNetwork::find(const std::string& vm) const
 {
     const std::lock_guard lock(m_mutex);
-    const auto* link = findUp(vm);
+    const auto* link = findConnected(vm);
     return link ? link->identity : std::nullopt;
 }
 
@@ -123,12 +123,12 @@
         const auto link = m_links.find(connection.get());
         if (link == m_links.end())
             return;
-        link->second.lastHeard = m_clock.now();
+        link->second.lastReceivedAt = m_clock.now();
         identity = link->second.identity;
         handler = m_handler;
     }
     if (!identity)
-        greeted(connection, envelope);
+        handleHello(connection, envelope);
     else if (handler && !envelope.has_heartbeat())
         handler->peerMessage(*identity, envelope);
 }
@@ -162,7 +162,7 @@
             if (error == net::error::operation_aborted)
                 return;
             if (!error)
-                self->adopt(std::move(socket), PeerRole::Acceptor, "");
+                self->addLink(std::move(socket), PeerRole::Acceptor, "");
             self->accept();
         });
 }
@@ -175,7 +175,7 @@
     const tcp::endpoint endpoint(net::ip::make_address(peer.address, ignored), static_cast<unsigned short>(peer.port));
     socket->async_connect(endpoint, [self = shared_from_this(), socket, peer](boost::system::error_code error) {
         if (!error)
-            self->adopt(std::move(*socket), PeerRole::Dialer, peer.name);
+            self->addLink(std::move(*socket), PeerRole::Dialer, peer.name);
         self->dialLater(peer);
     });
 }
@@ -199,7 +199,7 @@
     });
 }
 
-void PeerNetwork::adopt(tcp::socket socket, PeerRole role, const std::string& dialled)
+void PeerNetwork::addLink(tcp::socket socket, PeerRole role, const std::string& dialled)
 {
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
@@ -229,13 +229,13 @@
 bool PeerNetwork::mayDial(const PeerSettings& peer) const
 {
     const std::lock_guard lock(m_mutex);
-    const auto isOurs = [&peer](const auto& entry) {
+    const auto isLinkToPeer = [&peer](const auto& entry) {
         return entry.second.dialled == peer.name || (entry.second.identity && entry.second.identity->vm == peer.name);
     };
-    return std::none_of(m_links.begin(), m_links.end(), isOurs);
+    return std::none_of(m_links.begin(), m_links.end(), isLinkToPeer);
 }
 
-bool PeerNetwork::isWelcome(const wire::Envelope& envelope) const
+bool PeerNetwork::isAcceptableHello(const wire::Envelope& envelope) const
 {
     if (!envelope.has_hello())
         return false;
@@ -245,9 +245,9 @@
     return isPeer && hello.cluster() == m_settings.cluster.name && hello.secret() == m_settings.cluster.secret;
 }
 
-void PeerNetwork::greeted(const std::shared_ptr<PeerConnection>& connection, const wire::Envelope& envelope)
+void PeerNetwork::handleHello(const std::shared_ptr<PeerConnection>& connection, const wire::Envelope& envelope)
 {
-    if (!isWelcome(envelope)) {
+    if (!isAcceptableHello(envelope)) {
         logWarning(LogPart::Membership,
             "a peer connection is refused: expected a Hello from a configured peer with the same cluster and secret.");
         connection->close();
@@ -261,7 +261,7 @@
     {
         const std::lock_guard lock(m_mutex);
         // If a VM reconnects before the end of its old connection is detected, the new connection replaces the old one.
-        if (const auto* link = findUp(identity.vm))
+        if (const auto* link = findConnected(identity.vm))
             older = link->connection;
         const auto link = m_links.find(connection.get());
         if (link == m_links.end())
@@ -280,7 +280,7 @@
         handler->peerUp(identity);
 }
 
-const PeerNetwork::Link* PeerNetwork::findUp(const std::string& vm) const
+const PeerNetwork::Link* PeerNetwork::findConnected(const std::string& vm) const
 {
     for (const auto& entry : m_links) {
         if (entry.second.identity && entry.second.identity->vm == vm)
@@ -296,24 +296,24 @@
         const auto self = weak.lock();
         if (error || !self)
             return;
-        self->beat();
+        self->closeSilentLinksAndSendHeartbeat();
         self->scheduleHeartbeat();
     });
 }
 
-void PeerNetwork::beat()
+void PeerNetwork::closeSilentLinksAndSendHeartbeat()
 {
     wire::Envelope envelope;
     envelope.mutable_heartbeat();
-    std::vector<std::shared_ptr<PeerConnection>> silent;
+    std::vector<std::shared_ptr<PeerConnection>> silentConnections;
     {
         const std::lock_guard lock(m_mutex);
         for (const auto& entry : m_links) {
-            if (m_clock.now() - entry.second.lastHeard > m_settings.cluster.silence)
-                silent.push_back(entry.second.connection);
+            if (m_clock.now() - entry.second.lastReceivedAt > m_settings.cluster.silence)
+                silentConnections.push_back(entry.second.connection);
         }
     }
-    for (const auto& connection : silent)
+    for (const auto& connection : silentConnections)
         connection->close();
     broadcast(envelope);
 }
--- a/src/peer/PeerNetwork.h
+++ b/src/peer/PeerNetwork.h
@@ -58,7 +58,7 @@
         std::shared_ptr<PeerConnection> connection;
         // Set by the peer's Hello.
         std::optional<PeerIdentity> identity;
-        Milliseconds lastHeard { 0 };
+        Milliseconds lastReceivedAt { 0 };
         // Name of the dialled peer; empty for an accepted link.
         std::string dialled;
     };
@@ -66,13 +66,13 @@
     void accept();
     void dial(const PeerSettings&);
     void dialLater(const PeerSettings&);
-    void adopt(boost::asio::ip::tcp::socket, PeerRole, const std::string& dialled);
-    bool isWelcome(const wire::Envelope&) const;
-    void greeted(const std::shared_ptr<PeerConnection>&, const wire::Envelope&);
-    const Link* findUp(const std::string& vm) const;
+    void addLink(boost::asio::ip::tcp::socket, PeerRole, const std::string& dialled);
+    bool isAcceptableHello(const wire::Envelope&) const;
+    void handleHello(const std::shared_ptr<PeerConnection>&, const wire::Envelope&);
+    const Link* findConnected(const std::string& vm) const;
     bool mayDial(const PeerSettings&) const;
     void scheduleHeartbeat();
-    void beat();
+    void closeSilentLinksAndSendHeartbeat();
 
     boost::asio::io_context& m_ioContext;
     const Clock& m_clock;
--- a/test/PeerNetworkTest.cpp
+++ b/test/PeerNetworkTest.cpp
@@ -44,7 +44,7 @@
     std::vector<std::string> m_received;
 };
 
-wire::Envelope numbered(std::uint64_t number)
+wire::Envelope numberedMessage(std::uint64_t number)
 {
     wire::Envelope envelope;
     envelope.mutable_synced()->set_epoch(number);
@@ -104,7 +104,7 @@
     }
 };
 
-TEST(PeerNetwork, BringsBothSidesUp)
+TEST(PeerNetwork, ConnectsBothSides)
 {
     startBoth();
     CHECK(becomesTrue([this] { return networkA->find("b") && networkB->find("a"); }));
@@ -117,8 +117,8 @@
     startBoth();
     CHECK(becomesTrue([this] { return networkA->find("b") && networkB->find("a"); }));
     for (std::uint64_t i = 0; i < count; ++i) {
-        networkA->send("b", numbered(i));
-        networkB->send("a", numbered(i));
+        networkA->send("b", numberedMessage(i));
+        networkB->send("a", numberedMessage(i));
     }
     CHECK(becomesTrue([this] { return handlerA.receivedCount() == count && handlerB.receivedCount() == count; }));
     STRCMP_EQUAL("a:0", handlerB.received(0).c_str());
@@ -126,33 +126,33 @@
     STRCMP_EQUAL("b:499", handlerA.received(count - 1).c_str());
 }
 
-TEST(PeerNetwork, RefusesAWrongSecret)
+TEST(PeerNetwork, RefusesPeerWithWrongSecret)
 {
     startBoth("s", "other");
-    CHECK_FALSE(networkA->send("b", numbered(1)));
+    CHECK_FALSE(networkA->send("b", numberedMessage(1)));
     std::this_thread::sleep_for(Milliseconds { 50 });
     LONGS_EQUAL(0, handlerB.ups.load());
 }
 
-TEST(PeerNetwork, RefusesWhatIsNotAPeer)
+TEST(PeerNetwork, ClosesConnectionThatIsNotFromAPeer)
 {
     startBoth();
-    RawConnection stranger(networkB->port());
-    stranger.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-    stranger.readAll();
+    RawConnection otherProgram(networkB->port());
+    otherProgram.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
+    otherProgram.readAll();
     CHECK(becomesTrue([this] { return networkA->find("b").has_value(); }));
 }
 
-TEST(PeerNetwork, NoticesALostPeer)
+TEST(PeerNetwork, ReportsLostPeer)
 {
     startBoth();
     CHECK(becomesTrue([this] { return handlerA.ups == 1; }));
     networkB->stop();
     CHECK(becomesTrue([this] { return handlerA.downs >= 1; }));
-    CHECK_FALSE(networkA->send("b", numbered(1)));
+    CHECK_FALSE(networkA->send("b", numberedMessage(1)));
 }
 
-TEST(PeerNetwork, DialsAgainWhenAPeerIsBack)
+TEST(PeerNetwork, ReconnectsWhenPeerRestarts)
 {
     startBoth();
     CHECK(becomesTrue([this] { return handlerA.ups == 1; }));
@@ -168,16 +168,16 @@
 
 // A frozen peer accepts connections but sends nothing. If it were dialled repeatedly, it would process the Hello of
 // every connection once it resumes, and each link would replace the previous one.
-TEST(PeerNetwork, WaitsForASilentPeerWithOneConnection)
+TEST(PeerNetwork, OpensOnlyOneConnectionToFrozenPeer)
 {
-    boost::asio::ip::tcp::acceptor silent(ioContext, { boost::asio::ip::make_address("127.0.0.1"), 0 });
-    networkA
-        = std::make_shared<PeerNetwork>(ioContext, clock, settingsOf("a", "b", silent.local_endpoint().port(), "s"));
+    boost::asio::ip::tcp::acceptor frozenPeer(ioContext, { boost::asio::ip::make_address("127.0.0.1"), 0 });
+    networkA = std::make_shared<PeerNetwork>(
+        ioContext, clock, settingsOf("a", "b", frozenPeer.local_endpoint().port(), "s"));
     networkA->start(handlerA);
-    auto first = silent.accept();
+    auto first = frozenPeer.accept();
     std::this_thread::sleep_for(Milliseconds { 100 });
-    silent.non_blocking(true);
+    frozenPeer.non_blocking(true);
     boost::system::error_code error;
-    silent.accept(error);
+    frozenPeer.accept(error);
     CHECK(error == boost::asio::error::would_block);
 }
