--- a/src/http/ClientConnection.cpp
+++ b/src/http/ClientConnection.cpp
@@ -241,13 +241,13 @@
             return;
         }
         if (m_parser->is_done())
-            responseCompleted();
+            finishResponse();
         else if (error == http::error::need_more || used == 0)
             return;
     }
 }
 
-void ClientConnection::responseCompleted()
+void ClientConnection::finishResponse()
 {
     if (m_parser->isInterim()) {
         m_parser = std::make_unique<ResponseParser>(m_listener, m_isHeadRequest);
@@ -314,7 +314,7 @@
         fail(ClientFailure::Truncated);
         return;
     }
-    responseCompleted();
+    finishResponse();
 }
 
 void ClientConnection::fail(ClientFailure failure)
--- a/src/http/ClientConnection.h
+++ b/src/http/ClientConnection.h
@@ -99,7 +99,7 @@
     void read();
     void received(boost::system::error_code, std::size_t size);
     void parse();
-    void responseCompleted();
+    void finishResponse();
     void peerClosed(boost::system::error_code);
     void readKeepAliveTimeout();
     void fail(ClientFailure);
--- a/src/peer/PeerNetwork.cpp
+++ b/src/peer/PeerNetwork.cpp
@@ -225,7 +225,7 @@
 }
 
 // A frozen peer accepts connections but never sends a Hello. At most one connection to it may be open at a time; the
-// heartbeat check closes that connection after the silence timeout.
+// heartbeat check closes that connection once it has been silent for too long.
 bool PeerNetwork::mayDial(const PeerSettings& peer) const
 {
     const std::lock_guard lock(m_mutex);
