--- a/src/common/Log.cpp
+++ b/src/common/Log.cpp
@@ -37,12 +37,12 @@
     boost::log::add_common_attributes();
 }
 
-void writeLog(LogLevel level, LogPart part, const std::string& sentence)
+void writeLog(LogLevel level, LogPart component, const std::string& message)
 {
     if (level < minLoggedLevel.load(std::memory_order_relaxed))
         return;
     thread_local boost::log::sources::logger logger;
-    BOOST_LOG(logger) << nameIn(logLevelNames, level) << " " << nameIn(logPartNames, part) << ": " << sentence;
+    BOOST_LOG(logger) << nameIn(logLevelNames, level) << " " << nameIn(logPartNames, component) << ": " << message;
 }
 
 } // namespace lupinknot::internal
--- a/src/common/Log.h
+++ b/src/common/Log.h
@@ -60,14 +60,17 @@
 void initializeLog(LogLevel);
 
 // Thread-safe.
-void writeLog(LogLevel, LogPart, const std::string& sentence);
+void writeLog(LogLevel, LogPart, const std::string& message);
 
-inline void logDebug(LogPart part, const std::string& sentence) { writeLog(LogLevel::Debug, part, sentence); }
+inline void logDebug(LogPart component, const std::string& message) { writeLog(LogLevel::Debug, component, message); }
 
-inline void logInfo(LogPart part, const std::string& sentence) { writeLog(LogLevel::Info, part, sentence); }
+inline void logInfo(LogPart component, const std::string& message) { writeLog(LogLevel::Info, component, message); }
 
-inline void logWarning(LogPart part, const std::string& sentence) { writeLog(LogLevel::Warning, part, sentence); }
+inline void logWarning(LogPart component, const std::string& message)
+{
+    writeLog(LogLevel::Warning, component, message);
+}
 
-inline void logError(LogPart part, const std::string& sentence) { writeLog(LogLevel::Error, part, sentence); }
+inline void logError(LogPart component, const std::string& message) { writeLog(LogLevel::Error, component, message); }
 
 } // namespace lupinknot::internal
