--- a/test/PeerNetworkTest.cpp
+++ b/test/PeerNetworkTest.cpp
@@ -16,8 +16,8 @@
 
 class RecordingHandler final : public PeerHandler {
 public:
-    void peerUp(const PeerIdentity&) override { ++ups; }
-    void peerDown(const PeerIdentity&) override { ++downs; }
+    void peerUp(const PeerIdentity&) override { ++connections; }
+    void peerDown(const PeerIdentity&) override { ++disconnections; }
     void peerMessage(const PeerIdentity& peer, const wire::Envelope& envelope) override
     {
         const std::lock_guard lock(m_mutex);
@@ -36,8 +36,8 @@
         return m_received[index];
     }
 
-    std::atomic<int> ups { 0 };
-    std::atomic<int> downs { 0 };
+    std::atomic<int> connections { 0 };
+    std::atomic<int> disconnections { 0 };
 
 private:
     mutable std::mutex m_mutex;
@@ -131,7 +131,7 @@
     startBoth("s", "other");
     CHECK_FALSE(networkA->send("b", numberedMessage(1)));
     std::this_thread::sleep_for(Milliseconds { 50 });
-    LONGS_EQUAL(0, handlerB.ups.load());
+    LONGS_EQUAL(0, handlerB.connections.load());
 }
 
 TEST(PeerNetwork, ClosesConnectionThatIsNotFromAPeer)
@@ -146,19 +146,19 @@
 TEST(PeerNetwork, ReportsLostPeer)
 {
     startBoth();
-    CHECK(becomesTrue([this] { return handlerA.ups == 1; }));
+    CHECK(becomesTrue([this] { return handlerA.connections == 1; }));
     networkB->stop();
-    CHECK(becomesTrue([this] { return handlerA.downs >= 1; }));
+    CHECK(becomesTrue([this] { return handlerA.disconnections >= 1; }));
     CHECK_FALSE(networkA->send("b", numberedMessage(1)));
 }
 
 TEST(PeerNetwork, ReconnectsWhenPeerRestarts)
 {
     startBoth();
-    CHECK(becomesTrue([this] { return handlerA.ups == 1; }));
+    CHECK(becomesTrue([this] { return handlerA.connections == 1; }));
     const auto port = networkB->port();
     networkB->stop();
-    CHECK(becomesTrue([this] { return handlerA.downs >= 1; }));
+    CHECK(becomesTrue([this] { return handlerA.disconnections >= 1; }));
     auto settings = settingsOf("b", "a", 1, "s");
     settings.cluster.port = port;
     networkB = std::make_shared<PeerNetwork>(ioContext, clock, settings);
