--- a/src/http/HttpQuestion.cpp
+++ b/src/http/HttpQuestion.cpp
@@ -5,17 +5,17 @@
 namespace lupinknot::internal {
 
 std::shared_ptr<HttpQuestion> HttpQuestion::ask(boost::asio::io_context& ioContext,
-    std::shared_ptr<ClientConnection> connection, const HttpRequest& request, Milliseconds limit, Callback callback)
+    std::shared_ptr<ClientConnection> connection, const HttpRequest& request, Milliseconds timeout, Callback callback)
 {
-    std::shared_ptr<HttpQuestion> question(new HttpQuestion(ioContext, std::move(connection), std::move(callback)));
-    question->m_connection->send(request, question->weak_from_this());
-    question->m_timer.expires_after(limit);
-    question->m_timer.async_wait([weak = question->weak_from_this()](boost::system::error_code error) {
+    std::shared_ptr<HttpQuestion> roundTrip(new HttpQuestion(ioContext, std::move(connection), std::move(callback)));
+    roundTrip->m_connection->send(request, roundTrip->weak_from_this());
+    roundTrip->m_timer.expires_after(timeout);
+    roundTrip->m_timer.async_wait([weak = roundTrip->weak_from_this()](boost::system::error_code error) {
         const auto self = weak.lock();
         if (!error && self)
             self->fail("no-answer");
     });
-    return question;
+    return roundTrip;
 }
 
 HttpQuestion::HttpQuestion(
--- a/src/http/HttpQuestion.h
+++ b/src/http/HttpQuestion.h
@@ -1,6 +1,6 @@
 // One request on a client connection, with a timeout for the complete response.
 //
-//     auto question = HttpQuestion::ask(ioContext, connection, request, limit, [](const HttpOutcome& outcome) {
+//     auto roundTrip = HttpQuestion::ask(ioContext, connection, request, timeout, [](const HttpOutcome& outcome) {
 //         if (outcome.answer) ...
 //     });
 //
@@ -27,8 +27,8 @@
 public:
     using Callback = std::function<void(const HttpOutcome&)>;
 
-    static std::shared_ptr<HttpQuestion> ask(
-        boost::asio::io_context&, std::shared_ptr<ClientConnection>, const HttpRequest&, Milliseconds limit, Callback);
+    static std::shared_ptr<HttpQuestion> ask(boost::asio::io_context&, std::shared_ptr<ClientConnection>,
+        const HttpRequest&, Milliseconds timeout, Callback);
     ~HttpQuestion() override;
     HttpQuestion(const HttpQuestion&) = delete;
     HttpQuestion& operator=(const HttpQuestion&) = delete;
--- a/src/http/HttpSession.cpp
+++ b/src/http/HttpSession.cpp
@@ -103,17 +103,17 @@
     {
         post([self = shared_from_this()](HttpSession& session) {
             if (session.m_exchange == self)
-                session.gone();
+                session.closeAndNotify();
         });
     }
 
     void onGone(std::function<void()> callback) override
     {
         net::post(m_executor, [self = shared_from_this(), callback = std::move(callback)] {
-            if (self->m_isGone)
+            if (self->m_isPeerDisconnected)
                 callback();
             else if (!self->m_isAnswered)
-                self->m_onGone = callback;
+                self->m_disconnectCallback = callback;
         });
     }
 
@@ -123,16 +123,16 @@
     void setAnswered()
     {
         m_isAnswered = true;
-        m_onGone = nullptr;
+        m_disconnectCallback = nullptr;
     }
 
-    void setGone()
+    void notifyPeerDisconnected()
     {
-        if (m_isGone || m_isAnswered)
+        if (m_isPeerDisconnected || m_isAnswered)
             return;
-        m_isGone = true;
-        const auto callback = std::move(m_onGone);
-        m_onGone = nullptr;
+        m_isPeerDisconnected = true;
+        const auto callback = std::move(m_disconnectCallback);
+        m_disconnectCallback = nullptr;
         if (callback)
             callback();
     }
@@ -151,8 +151,8 @@
     const HttpRequest m_request;
     std::atomic<bool> m_isWakePending { false };
     bool m_isAnswered { false };
-    bool m_isGone { false };
-    std::function<void()> m_onGone;
+    bool m_isPeerDisconnected { false };
+    std::function<void()> m_disconnectCallback;
 };
 
 HttpSession::HttpSession(net::ip::tcp::socket socket, std::shared_ptr<HttpSessionOwner> owner)
@@ -189,7 +189,7 @@
     net::post(m_stream.get_executor(), [self = shared_from_this()] {
         beast::error_code ignored;
         self->m_stream.socket().set_option(net::socket_base::linger(true, 0), ignored);
-        self->gone();
+        self->closeAndNotify();
     });
 }
 
@@ -407,7 +407,7 @@
 {
     m_isWriting = false;
     if (error) {
-        gone();
+        closeAndNotify();
         return;
     }
     m_stream.expires_never();
@@ -463,15 +463,15 @@
     }
     const bool hasNextRequest = !error;
     if (!hasNextRequest)
-        gone();
+        closeAndNotify();
 }
 
-void HttpSession::gone()
+void HttpSession::closeAndNotify()
 {
     const auto exchange = m_exchange;
     close();
     if (exchange)
-        exchange->setGone();
+        exchange->notifyPeerDisconnected();
 }
 
 void HttpSession::close()
--- a/src/http/HttpSession.h
+++ b/src/http/HttpSession.h
@@ -72,7 +72,7 @@
     void exchangeComplete();
     void watchPeer();
     void peerReadable(boost::beast::error_code);
-    void gone();
+    void closeAndNotify();
     void close();
 
     boost::beast::tcp_stream m_stream;
--- a/test/HttpServerTest.cpp
+++ b/test/HttpServerTest.cpp
@@ -55,14 +55,14 @@
     void notePeerDisconnected()
     {
         const std::lock_guard lock(m_mutex);
-        m_isGone = true;
+        m_isPeerDisconnected = true;
         m_condition.notify_all();
     }
 
     void waitForPeerDisconnect()
     {
         std::unique_lock lock(m_mutex);
-        m_condition.wait(lock, [this] { return m_isGone; });
+        m_condition.wait(lock, [this] { return m_isPeerDisconnected; });
     }
 
 private:
@@ -78,7 +78,7 @@
     std::mutex m_mutex;
     std::condition_variable m_condition;
     std::vector<std::shared_ptr<HttpExchange>> m_exchanges;
-    bool m_isGone { false };
+    bool m_isPeerDisconnected { false };
     HttpServer m_server;
     std::vector<std::thread> m_threads;
 };
