--- a/src/common/EventLog.h
+++ b/src/common/EventLog.h
@@ -22,7 +22,7 @@
 
 // Starts the writer thread. Lines written before this call, or in programs that never make it, are dropped.
 void startEventLog(const std::string& vmName);
-// Waits a short, limited time until the lines logged so far are written.
+// Waits until the lines logged so far are written, but only for a short time.
 void stopEventLog();
 
 // Builds one line. Not thread-safe; write() must be the last call.
--- a/src/peer/PeerConnection.h
+++ b/src/peer/PeerConnection.h
@@ -32,9 +32,9 @@
     Acceptor,
 };
 
-// Thread-safe: public methods post to the strand, and all other work runs there. Owned by its pending operations and by
-// its users. Messages are sent in order. If the peer does not read, the connection is closed when its send queue is
-// full.
+// Thread-safe: start(), send() and close() post to the strand, and all other work runs there. Owned by its pending
+// operations and by its users. Messages are sent in order. If the peer does not read, the connection is closed when its
+// send queue is full.
 class PeerConnection : public std::enable_shared_from_this<PeerConnection> {
 public:
     // The socket's executor must be a strand.
--- a/src/peer/PeerHandler.h
+++ b/src/peer/PeerHandler.h
@@ -22,7 +22,7 @@
 };
 
 // Methods are called on any thread. Calls for one link come one at a time and in order; calls for two links of the same
-// peer may overlap.
+// peer may overlap or come out of order.
 class PeerHandler {
 public:
     virtual ~PeerHandler() = default;
--- a/src/peer/PeerNetwork.h
+++ b/src/peer/PeerNetwork.h
@@ -34,8 +34,7 @@
     // The io_context and the clock must outlive the network.
     PeerNetwork(boost::asio::io_context&, const Clock&, PeerNetworkSettings);
 
-    // Binds and dials. The handler must stay valid until stop() has returned. Returns an error message, or nullopt on
-    // success.
+    // Binds and dials. The handler must outlive stop(). Returns an error message, or nullopt on success.
     std::optional<std::string> start(PeerHandler&);
     // Closes all connections. The handler is no longer called.
     void stop();
