--- a/src/common/EventLog.cpp
+++ b/src/common/EventLog.cpp
@@ -23,16 +23,16 @@
 
 namespace sinks = boost::log::sinks;
 using Backend = sinks::text_ostream_backend;
-// Lines that wait for the writing thread; about a megabyte at the usual length of a line.
+// Lines that may wait for the writer thread; about one megabyte at the usual line length.
 constexpr std::size_t queueLength = 4096;
 using Sink = sinks::asynchronous_sink<Backend, sinks::bounded_fifo_queue<queueLength, sinks::drop_on_overflow>>;
 
-// Lines a second: a VM of today takes some 5 requests a second and writes about two routine lines for each.
+// For routine and notable lines. A VM receives about 5 requests per second and writes about two routine lines for each.
 constexpr std::array<std::int64_t, 2> linesPerSecond { 200, 400 };
-constexpr std::chrono::milliseconds longestFlush { 200 };
+constexpr std::chrono::milliseconds maxFlushTime { 200 };
 constexpr std::int64_t millisecondsInSecond = 1000;
 
-// State of the process's log.
+// The log of this process.
 struct EventLogState {
     std::mutex mutex;
     std::string vmName;
@@ -47,7 +47,7 @@
 
 EventLogState& state()
 {
-    // Never destroyed: threads that end late may still log.
+    // Never destroyed, because threads that outlive static objects may still log.
     static auto* const only = new EventLogState;
     return *only;
 }
@@ -66,21 +66,21 @@
 
 void appendEscaped(std::string& line, std::string_view value)
 {
-    for (const auto letter : value) {
-        const auto code = static_cast<unsigned char>(letter);
-        if (letter == '"' || letter == '\\')
-            line.append(1, '\\').append(1, letter);
+    for (const auto character : value) {
+        const auto code = static_cast<unsigned char>(character);
+        if (character == '"' || character == '\\')
+            line.append(1, '\\').append(1, character);
         else if (code < 0x20 || code >= 0x7f)
             line.append("?");
         else
-            line.append(1, letter);
+            line.append(1, character);
     }
 }
 
-void put(EventLogState& log, const std::string& line) { BOOST_LOG(*log.logger) << line; }
+void writeRecord(EventLogState& log, const std::string& line) { BOOST_LOG(*log.logger) << line; }
 
-// Starts a new second's count and says what the last one dropped. Called with the lock held.
-void turnSecond(EventLogState& log)
+// At the start of a new second, resets the counts and logs how many lines were dropped before. Requires the lock.
+void startNewSecond(EventLogState& log)
 {
     const auto second = steadySecond();
     if (second == log.second)
@@ -91,7 +91,7 @@
     if (routine + notable == 0)
         return;
     log.dropped = {};
-    put(log,
+    writeRecord(log,
         "{\"time_ms\":" + std::to_string(wallMilliseconds()) + ",\"vm\":\"" + log.vmName
             + "\",\"event\":\"log.dropped\",\"routine\":" + std::to_string(routine)
             + ",\"notable\":" + std::to_string(notable) + "}");
@@ -122,7 +122,7 @@
 {
     if (!isStarted.exchange(false))
         return;
-    // Writing may be stuck behind a reader that reads nothing, so the wait for it is bounded and its thread left.
+    // The flush may block on a reader that does not read, so the wait is bounded and the flushing thread detached.
     struct Done {
         std::mutex mutex;
         std::condition_variable condition;
@@ -136,14 +136,14 @@
         done->condition.notify_all();
     }).detach();
     std::unique_lock lock(done->mutex);
-    done->condition.wait_for(lock, longestFlush, [&done] { return done->isDone; });
+    done->condition.wait_for(lock, maxFlushTime, [&done] { return done->isDone; });
 }
 
 LogEvent::LogEvent(std::string_view name, LogImportance importance)
     : m_importance(importance)
-    , m_isWanted(isStarted.load(std::memory_order_relaxed))
+    , m_isEnabled(isStarted.load(std::memory_order_relaxed))
 {
-    if (!m_isWanted)
+    if (!m_isEnabled)
         return;
     m_line.reserve(256);
     m_line.append("{\"time_ms\":").append(std::to_string(wallMilliseconds()));
@@ -153,7 +153,7 @@
 
 LogEvent& LogEvent::text(std::string_view field, std::string_view value)
 {
-    if (!m_isWanted)
+    if (!m_isEnabled)
         return *this;
     beginField(field);
     m_line.append("\"");
@@ -164,7 +164,7 @@
 
 LogEvent& LogEvent::number(std::string_view field, std::int64_t value)
 {
-    if (!m_isWanted)
+    if (!m_isEnabled)
         return *this;
     beginField(field);
     m_line.append(std::to_string(value));
@@ -173,7 +173,7 @@
 
 LogEvent& LogEvent::flag(std::string_view field, bool value)
 {
-    if (!m_isWanted)
+    if (!m_isEnabled)
         return *this;
     beginField(field);
     m_line.append(value ? "true" : "false");
@@ -184,19 +184,19 @@
 
 void LogEvent::write()
 {
-    if (!m_isWanted)
+    if (!m_isEnabled)
         return;
     m_line.append("}");
     auto& log = state();
     const std::lock_guard lock(log.mutex);
-    turnSecond(log);
+    startNewSecond(log);
     const auto kind = static_cast<std::size_t>(m_importance);
     if (log.written[kind] >= linesPerSecond[kind]) {
         ++log.dropped[kind];
         return;
     }
     ++log.written[kind];
-    put(log, m_line);
+    writeRecord(log, m_line);
 }
 
 } // namespace lupinknot::internal
--- a/src/http/ClientConnection.cpp
+++ b/src/http/ClientConnection.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-constexpr std::uint32_t maxAnswerHeadBytes = 64 * kibibyte;
+constexpr std::uint32_t maxResponseHeaderBytes = 64 * kibibyte;
 constexpr Milliseconds oneSecond { 1000 };
 
-// A peer that vanished without a word is noticed by probes of the system: after one second of rest, one a second, and
-// the connection is given up when two stay unanswered.
+// TCP keep-alive detects a peer that disappears without closing the connection. The kernel sends a probe per second
+// after one idle second and drops the connection after two unanswered probes.
 constexpr int probeIdleSeconds = 1;
 constexpr int probeIntervalSeconds = 1;
 constexpr int probeCount = 2;
@@ -42,22 +42,22 @@
 
 } // namespace
 
-// Hands an answer on to the listener while it is parsed.
-class ClientConnection::AnswerParser final : public http::basic_parser<false> {
+// Parses a response and forwards its parts to the listener as they arrive.
+class ClientConnection::ResponseParser final : public http::basic_parser<false> {
 public:
-    AnswerParser(const std::weak_ptr<ClientConnectionListener>& listener, bool isHeadRequest)
+    ResponseParser(const std::weak_ptr<ClientConnectionListener>& listener, bool isHeadRequest)
         : m_listener(listener)
     {
         eager(true);
-        header_limit(maxAnswerHeadBytes);
-        // Boost 1.74 takes "no limit" for a limit of nothing.
+        header_limit(maxResponseHeaderBytes);
+        // Boost 1.74 treats boost::none ("no limit") as a limit of zero bytes.
         body_limit(std::numeric_limits<std::uint64_t>::max());
         if (isHeadRequest)
             skip(true);
     }
 
     const HttpResponse& head() const { return m_head; }
-    // 1xx answers come before the real one and are not reported.
+    // 1xx responses precede the final one and are not reported.
     bool isInterim() const { return m_head.status < 200; }
 
 private:
@@ -127,8 +127,8 @@
     m_requestBytes = serialize(request);
     m_isHeadRequest = request.method == "HEAD";
     m_hasSent = false;
-    m_hasAnswerBytes = false;
-    m_parser = std::make_unique<AnswerParser>(m_listener, m_isHeadRequest);
+    m_hasResponseBytes = false;
+    m_parser = std::make_unique<ResponseParser>(m_listener, m_isHeadRequest);
     if (m_state == State::New) {
         connect();
         return;
@@ -173,7 +173,7 @@
 
 void ClientConnection::applySocketOptions()
 {
-    // Options that a system lacks are done without: the callers' own time limits still hold.
+    // Options that the system does not support are skipped; the callers' own timeouts still apply.
     boost::system::error_code ignored;
     m_socket.set_option(net::ip::tcp::no_delay(true), ignored);
     m_socket.set_option(net::socket_base::keep_alive(true), ignored);
@@ -193,7 +193,7 @@
     net::async_write(m_socket, net::buffer(m_requestBytes),
         [self = shared_from_this()](boost::system::error_code error, std::size_t) {
             self->m_isWriting = false;
-            // A peer may answer and close before it has read all; what it sent is still read.
+            // The peer may respond and close before it has read the whole request; its response is still read.
             if (error && self->m_state == State::Idle)
                 self->close();
         });
@@ -216,11 +216,11 @@
         return;
     }
     if (m_state != State::Busy) {
-        // Nobody waits for an answer: what has come belongs to no request.
+        // No response is pending, so the bytes belong to no request.
         close();
         return;
     }
-    m_hasAnswerBytes = true;
+    m_hasResponseBytes = true;
     m_received.append(m_readBuffer.data(), size);
     parse();
     if (m_state != State::Closed)
@@ -241,30 +241,30 @@
             return;
         }
         if (m_parser->is_done())
-            answerComplete();
+            finishResponse();
         else if (error == http::error::need_more || used == 0)
             return;
     }
 }
 
-void ClientConnection::answerComplete()
+void ClientConnection::finishResponse()
 {
     if (m_parser->isInterim()) {
-        m_parser = std::make_unique<AnswerParser>(m_listener, m_isHeadRequest);
+        m_parser = std::make_unique<ResponseParser>(m_listener, m_isHeadRequest);
         return;
     }
     const bool keepsAlive = m_parser->keep_alive() && !m_parser->need_eof();
-    noteKeepAlive();
+    readKeepAliveTimeout();
     const auto listener = m_listener.lock();
-    const bool wantsNext = listener && listener->answerEnd();
+    const bool mustAwaitNext = listener && listener->answerEnd();
     if (m_state != State::Busy)
         return;
-    if (wantsNext && keepsAlive) {
-        m_hasAnswerBytes = !m_received.empty();
-        m_parser = std::make_unique<AnswerParser>(m_listener, m_isHeadRequest);
+    if (mustAwaitNext && keepsAlive) {
+        m_hasResponseBytes = !m_received.empty();
+        m_parser = std::make_unique<ResponseParser>(m_listener, m_isHeadRequest);
         return;
     }
-    if (wantsNext) {
+    if (mustAwaitNext) {
         fail(ClientFailure::ClosedBeforeAnswer);
         return;
     }
@@ -277,7 +277,7 @@
     m_requestBytes.clear();
 }
 
-void ClientConnection::noteKeepAlive()
+void ClientConnection::readKeepAliveTimeout()
 {
     m_peerIdleTimeout.reset();
     const auto value = m_parser->head().headers.find("Keep-Alive");
@@ -300,11 +300,11 @@
         close();
         return;
     }
-    if (!m_hasAnswerBytes) {
+    if (!m_hasResponseBytes) {
         fail(ClientFailure::ClosedBeforeAnswer);
         return;
     }
-    // An answer without a length ends with an orderly close; a reset breaks it off.
+    // A response without a length ends with an orderly close; after a reset it is truncated.
     beast::error_code parseError;
     if (error == net::error::eof && m_parser->is_header_done() && m_parser->need_eof())
         m_parser->put_eof(parseError);
@@ -314,7 +314,7 @@
         fail(ClientFailure::Truncated);
         return;
     }
-    answerComplete();
+    finishResponse();
 }
 
 void ClientConnection::fail(ClientFailure failure)
@@ -332,12 +332,12 @@
 {
     if (m_state == State::Closed)
         return;
-    const bool isAnswerDue = m_state == State::Busy;
+    const bool isResponsePending = m_state == State::Busy;
     m_state = State::Closed;
     m_listener.reset();
     m_connectTimer.cancel();
     boost::system::error_code ignored;
-    if (isAnswerDue)
+    if (isResponsePending)
         m_socket.set_option(net::socket_base::linger(true, 0), ignored);
     m_socket.close(ignored);
 }
--- a/src/http/HttpQuestion.cpp
+++ b/src/http/HttpQuestion.cpp
@@ -5,17 +5,17 @@
 namespace lupinknot::internal {
 
 std::shared_ptr<HttpQuestion> HttpQuestion::ask(boost::asio::io_context& ioContext,
-    std::shared_ptr<ClientConnection> connection, const HttpRequest& request, Milliseconds limit, Callback callback)
+    std::shared_ptr<ClientConnection> connection, const HttpRequest& request, Milliseconds timeout, Callback callback)
 {
-    std::shared_ptr<HttpQuestion> question(new HttpQuestion(ioContext, std::move(connection), std::move(callback)));
-    question->m_connection->send(request, question->weak_from_this());
-    question->m_timer.expires_after(limit);
-    question->m_timer.async_wait([weak = question->weak_from_this()](boost::system::error_code error) {
+    std::shared_ptr<HttpQuestion> roundTrip(new HttpQuestion(ioContext, std::move(connection), std::move(callback)));
+    roundTrip->m_connection->send(request, roundTrip->weak_from_this());
+    roundTrip->m_timer.expires_after(timeout);
+    roundTrip->m_timer.async_wait([weak = roundTrip->weak_from_this()](boost::system::error_code error) {
         const auto self = weak.lock();
         if (!error && self)
             self->fail("no-answer");
     });
-    return question;
+    return roundTrip;
 }
 
 HttpQuestion::HttpQuestion(
@@ -35,20 +35,20 @@
 
 void HttpQuestion::answerHead(const HttpResponse& head)
 {
-    m_answer.status = head.status;
-    m_answer.headers = head.headers;
+    m_response.status = head.status;
+    m_response.headers = head.headers;
 }
 
-void HttpQuestion::answerBody(std::string_view piece) { m_answer.body.append(piece); }
+void HttpQuestion::answerBody(std::string_view piece) { m_response.body.append(piece); }
 
 bool HttpQuestion::answerEnd()
 {
-    m_isAnswered = true;
+    m_isResponseComplete = true;
     m_timer.cancel();
-    // The connection becomes idle, if it does, once this callback has returned.
+    // The connection can become idle only after this callback returns, so the result is reported later.
     boost::asio::post(m_ioContext, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
-            self->settle({ &self->m_answer, "" });
+            self->report({ &self->m_response, "" });
     });
     return false;
 }
@@ -57,14 +57,14 @@
 
 void HttpQuestion::fail(std::string_view problem)
 {
-    if (m_isAnswered)
+    if (m_isResponseComplete)
         return;
     m_timer.cancel();
     m_connection->close();
-    settle({ nullptr, problem });
+    report({ nullptr, problem });
 }
 
-void HttpQuestion::settle(const HttpOutcome& outcome)
+void HttpQuestion::report(const HttpOutcome& outcome)
 {
     const auto self = shared_from_this();
     if (const auto callback = std::exchange(m_callback, nullptr))
--- a/src/http/HttpQuestion.h
+++ b/src/http/HttpQuestion.h
@@ -1,11 +1,11 @@
-// One request on a client connection, with a time limit for the whole answer.
+// One request on a client connection, with a timeout for the complete response.
 //
-//     auto question = HttpQuestion::ask(ioContext, connection, request, limit, [](const HttpOutcome& outcome) {
+//     auto roundTrip = HttpQuestion::ask(ioContext, connection, request, timeout, [](const HttpOutcome& outcome) {
 //         if (outcome.answer) ...
 //     });
 //
-// The callback is called at most once, and not after the question has gone. After an answer the connection may be idle
-// and carry the next question; in every other case it is closed.
+// The callback is called at most once, and never after this object is destroyed. After a response the connection may be
+// idle and carry the next request; in every other case it is closed.
 // Not thread-safe: used on the thread that runs the io_context. Owned by its user.
 #pragma once
 
@@ -17,9 +17,9 @@
 namespace lupinknot::internal {
 
 struct HttpOutcome {
-    // Null when no whole answer came in time.
+    // Null if no complete response arrived in time.
     const HttpResponse* answer { nullptr };
-    // Why there is none, for logs.
+    // Why there is no response, for logs.
     std::string_view problem;
 };
 
@@ -27,8 +27,8 @@
 public:
     using Callback = std::function<void(const HttpOutcome&)>;
 
-    static std::shared_ptr<HttpQuestion> ask(
-        boost::asio::io_context&, std::shared_ptr<ClientConnection>, const HttpRequest&, Milliseconds limit, Callback);
+    static std::shared_ptr<HttpQuestion> ask(boost::asio::io_context&, std::shared_ptr<ClientConnection>,
+        const HttpRequest&, Milliseconds timeout, Callback);
     ~HttpQuestion() override;
     HttpQuestion(const HttpQuestion&) = delete;
     HttpQuestion& operator=(const HttpQuestion&) = delete;
@@ -41,14 +41,14 @@
 private:
     HttpQuestion(boost::asio::io_context&, std::shared_ptr<ClientConnection>, Callback);
     void fail(std::string_view problem);
-    void settle(const HttpOutcome&);
+    void report(const HttpOutcome&);
 
     boost::asio::io_context& m_ioContext;
     const std::shared_ptr<ClientConnection> m_connection;
     Callback m_callback;
-    HttpResponse m_answer;
+    HttpResponse m_response;
     boost::asio::steady_timer m_timer;
-    bool m_isAnswered { false };
+    bool m_isResponseComplete { false };
 };
 
 } // namespace lupinknot::internal
--- a/src/http/HttpSession.cpp
+++ b/src/http/HttpSession.cpp
@@ -46,8 +46,8 @@
     return refusal;
 }
 
-// How long a caller may count on the connection, in whole seconds and shorter than it is kept, because what the caller
-// sends takes a while to arrive.
+// Keep-Alive header: how long the caller may reuse the idle connection, in whole seconds. It is shorter than the idle
+// timeout, because the caller's next request takes time to arrive.
 std::string keepAliveText(const HttpServerSettings& settings)
 {
     constexpr std::int64_t millisecondsInSecond = 1000;
@@ -55,7 +55,7 @@
     return "timeout=" + std::to_string(std::max<std::int64_t>(seconds, 1));
 }
 
-bool hasPeerLeft(beast::error_code error)
+bool isDisconnect(beast::error_code error)
 {
     return error == http::error::end_of_stream || error == http::error::partial_message || error == net::error::eof
         || error == net::error::connection_reset || error == net::error::operation_aborted
@@ -64,7 +64,7 @@
 
 } // namespace
 
-// Lives as long as a handler or the session holds it; the session itself may be gone by then.
+// Lives as long as a handler or the session holds it; may outlive the session.
 class HttpSession::Exchange final : public HttpExchange, public std::enable_shared_from_this<Exchange> {
 public:
     Exchange(const std::shared_ptr<HttpSession>& session, HttpRequest request)
@@ -90,7 +90,7 @@
 
     void wake() override
     {
-        // One pending wake is enough, however many tokens come before it is served.
+        // One pending wake-up is enough, however many tokens arrive before it runs.
         if (m_isWakePending.exchange(true))
             return;
         post([self = shared_from_this()](HttpSession& session) {
@@ -103,36 +103,36 @@
     {
         post([self = shared_from_this()](HttpSession& session) {
             if (session.m_exchange == self)
-                session.gone();
+                session.closeAndNotify();
         });
     }
 
     void onGone(std::function<void()> callback) override
     {
         net::post(m_executor, [self = shared_from_this(), callback = std::move(callback)] {
-            if (self->m_isGone)
+            if (self->m_isPeerDisconnected)
                 callback();
             else if (!self->m_isAnswered)
-                self->m_onGone = callback;
+                self->m_disconnectCallback = callback;
         });
     }
 
-    // The rest is called on the strand only.
+    // The following methods are called on the strand only.
     bool isAnswered() const { return m_isAnswered; }
 
     void setAnswered()
     {
         m_isAnswered = true;
-        m_onGone = nullptr;
+        m_disconnectCallback = nullptr;
     }
 
-    void setGone()
+    void notifyPeerDisconnected()
     {
-        if (m_isGone || m_isAnswered)
+        if (m_isPeerDisconnected || m_isAnswered)
             return;
-        m_isGone = true;
-        const auto callback = std::move(m_onGone);
-        m_onGone = nullptr;
+        m_isPeerDisconnected = true;
+        const auto callback = std::move(m_disconnectCallback);
+        m_disconnectCallback = nullptr;
         if (callback)
             callback();
     }
@@ -151,8 +151,8 @@
     const HttpRequest m_request;
     std::atomic<bool> m_isWakePending { false };
     bool m_isAnswered { false };
-    bool m_isGone { false };
-    std::function<void()> m_onGone;
+    bool m_isPeerDisconnected { false };
+    std::function<void()> m_disconnectCallback;
 };
 
 HttpSession::HttpSession(net::ip::tcp::socket socket, std::shared_ptr<HttpSessionOwner> owner)
@@ -165,7 +165,8 @@
 
 HttpSession::~HttpSession()
 {
-    // A session that still has an exchange goes with its io_context; whoever would hear of it may be gone already.
+    // A session that still has an exchange is destroyed with its io_context. The handler may already be destroyed, so
+    // it is not notified.
     m_owner->sessionClosed(this);
 }
 
@@ -180,7 +181,7 @@
         "this VM holds as many connections as its limit allows: " + std::to_string(m_owner->settings()->maxConnections),
         "", RunOutcome::NotRun, Milliseconds { 1000 } };
     net::post(m_stream.get_executor(),
-        [self = shared_from_this(), refusal] { self->writeWhole(errorResponse(refusal), false); });
+        [self = shared_from_this(), refusal] { self->writeBufferedResponse(errorResponse(refusal), false); });
 }
 
 void HttpSession::abort()
@@ -188,44 +189,44 @@
     net::post(m_stream.get_executor(), [self = shared_from_this()] {
         beast::error_code ignored;
         self->m_stream.socket().set_option(net::socket_base::linger(true, 0), ignored);
-        self->gone();
+        self->closeAndNotify();
     });
 }
 
 void HttpSession::closeIfIdle()
 {
     net::post(m_stream.get_executor(), [self = shared_from_this()] {
-        if (self->m_isResting)
+        if (self->m_isIdle)
             self->close();
     });
 }
 
-// Waits for the first byte of a request, so that the time for its header does not count the rest before it.
+// Waits for the first byte of a request, so that the header timeout does not include the idle time before it.
 void HttpSession::awaitRequest()
 {
     if (m_buffer.size() > 0) {
-        readHead();
+        readHeader();
         return;
     }
-    m_isResting = true;
+    m_isIdle = true;
     m_stream.expires_never();
-    limitRead(m_owner->settings()->idleTimeout);
+    startReadTimer(m_owner->settings()->idleTimeout);
     m_stream.socket().async_wait(net::ip::tcp::socket::wait_read, [self = shared_from_this()](beast::error_code error) {
-        self->m_isResting = false;
+        self->m_isIdle = false;
         if (error || self->m_isClosed)
             self->close();
         else
-            self->readHead();
+            self->readHeader();
     });
 }
 
-void HttpSession::readHead()
+void HttpSession::readHeader()
 {
     m_parser.emplace();
     m_parser->header_limit(static_cast<std::uint32_t>(m_owner->settings()->maxHeaderBytes));
     m_parser->body_limit(static_cast<std::uint64_t>(m_owner->settings()->maxBodyBytes));
     m_stream.expires_never();
-    limitRead(m_owner->settings()->headerTimeout);
+    startReadTimer(m_owner->settings()->headerTimeout);
     http::async_read_header(
         m_stream, m_buffer, *m_parser, [self = shared_from_this()](beast::error_code error, std::size_t) {
             if (error)
@@ -237,7 +238,7 @@
 
 void HttpSession::readBody()
 {
-    limitRead(m_owner->settings()->bodyTimeout);
+    startReadTimer(m_owner->settings()->bodyTimeout);
     http::async_read(m_stream, m_buffer, *m_parser, [self = shared_from_this()](beast::error_code error, std::size_t) {
         if (error)
             self->refuse(error);
@@ -246,16 +247,16 @@
     });
 }
 
-void HttpSession::limitRead(Milliseconds time)
+void HttpSession::startReadTimer(Milliseconds time)
 {
-    m_isReadLate = false;
+    m_hasReadTimedOut = false;
     m_readTimer.expires_after(time);
     m_readTimer.async_wait([weak = weak_from_this(), number = ++m_readNumber](beast::error_code error) {
         const auto self = weak.lock();
-        // The read may have ended while this call was on its way.
+        // The read may have completed while this callback was queued.
         if (error || !self || self->m_readNumber != number)
             return;
-        self->m_isReadLate = true;
+        self->m_hasReadTimedOut = true;
         self->m_stream.cancel();
     });
 }
@@ -284,15 +285,15 @@
 {
     ++m_readNumber;
     m_readTimer.cancel();
-    // A connection that closes, or idles into its time limit, between two requests asked for nothing.
+    // A connection that closes or times out between two requests has sent no request that needs a response.
     const bool isIdle = !m_parser->got_some() && m_buffer.size() == 0;
-    if (isIdle || (hasPeerLeft(error) && !m_isReadLate)) {
+    if (isIdle || (isDisconnect(error) && !m_hasReadTimedOut)) {
         close();
         return;
     }
     m_mustDrain = true;
-    const auto reason = m_isReadLate ? beast::error_code(beast::error::timeout) : error;
-    writeWhole(errorResponse(describeReadFailure(reason, *m_owner->settings())), false);
+    const auto reason = m_hasReadTimedOut ? beast::error_code(beast::error::timeout) : error;
+    writeBufferedResponse(errorResponse(describeReadFailure(reason, *m_owner->settings())), false);
 }
 
 void HttpSession::respond(const std::shared_ptr<Exchange>& exchange, HttpResponse response)
@@ -300,10 +301,10 @@
     if (exchange != m_exchange || exchange->isAnswered() || m_isClosed)
         return;
     exchange->setAnswered();
-    writeWhole(std::move(response), m_keepAlive && !m_owner->isStopping());
+    writeBufferedResponse(std::move(response), m_keepAlive && !m_owner->isStopping());
 }
 
-void HttpSession::writeWhole(HttpResponse response, bool keepAlive)
+void HttpSession::writeBufferedResponse(HttpResponse response, bool keepAlive)
 {
     m_response.emplace(static_cast<http::status>(response.status), 11);
     for (const auto& field : response.headers.fields())
@@ -330,8 +331,8 @@
         });
 }
 
-// Closing a connection with unread input resets it, and the reset can destroy the refusal before the peer reads it. So
-// the rest of a refused request is read and dropped, for a short time and up to a limit.
+// Closing a connection with unread input resets it, and the reset can discard the error response before the peer reads
+// it. So the rest of a refused request is read and discarded, within limits of time and size.
 void HttpSession::beginDrain()
 {
     beast::error_code ignored;
@@ -358,19 +359,19 @@
     if (exchange != m_exchange || exchange->isAnswered() || m_source || m_isClosed)
         return;
     m_source = std::move(source);
-    m_head.emplace(static_cast<http::status>(head.status), 11);
+    m_header.emplace(static_cast<http::status>(head.status), 11);
     for (const auto& field : head.headers.fields())
-        m_head->insert(field.name, field.value);
-    m_head->chunked(true);
+        m_header->insert(field.name, field.value);
+    m_header->chunked(true);
     m_keepAlive = m_keepAlive && !m_owner->isStopping();
-    m_head->keep_alive(m_keepAlive);
+    m_header->keep_alive(m_keepAlive);
     if (m_keepAlive)
-        m_head->insert(http::field::keep_alive, keepAliveText(*m_owner->settings()));
-    m_headSerializer.emplace(*m_head);
+        m_header->insert(http::field::keep_alive, keepAliveText(*m_owner->settings()));
+    m_headerSerializer.emplace(*m_header);
     m_isWriting = true;
     m_stream.expires_after(m_owner->settings()->writeTimeout);
     http::async_write_header(
-        m_stream, *m_headSerializer, [self = shared_from_this(), exchange](beast::error_code error, std::size_t) {
+        m_stream, *m_headerSerializer, [self = shared_from_this(), exchange](beast::error_code error, std::size_t) {
             self->pieceWritten(exchange, error, false);
         });
 }
@@ -391,7 +392,7 @@
         net::async_write(m_stream, http::make_chunk(net::buffer(m_piece)), written);
         return;
     }
-    // The last piece and the end of the body go out together.
+    // The last piece and the terminating chunk are sent in one write.
     std::string end;
     if (!m_piece.empty()) {
         char length[20];
@@ -406,7 +407,7 @@
 {
     m_isWriting = false;
     if (error) {
-        gone();
+        closeAndNotify();
         return;
     }
     m_stream.expires_never();
@@ -422,8 +423,8 @@
 {
     exchangeComplete();
     m_source.reset();
-    m_headSerializer.reset();
-    m_head.reset();
+    m_headerSerializer.reset();
+    m_header.reset();
     if (m_keepAlive)
         awaitRequest();
     else
@@ -437,7 +438,7 @@
     m_exchangeHold.cancel();
 }
 
-// While a request is being handled nothing is read, so that a peer's leaving has to be looked for.
+// Nothing is read while a request is being handled, so a disconnect of the peer must be detected separately.
 void HttpSession::watchPeer()
 {
     m_stream.socket().async_wait(
@@ -456,21 +457,21 @@
     socket.non_blocking(true, error);
     socket.receive(net::buffer(&byte, 1), net::ip::tcp::socket::message_peek, error);
     if (error == net::error::would_block) {
-        // The readiness was that of bytes that have been read already.
+        // The socket was reported readable for bytes that have already been read.
         watchPeer();
         return;
     }
     const bool hasNextRequest = !error;
     if (!hasNextRequest)
-        gone();
+        closeAndNotify();
 }
 
-void HttpSession::gone()
+void HttpSession::closeAndNotify()
 {
     const auto exchange = m_exchange;
     close();
     if (exchange)
-        exchange->setGone();
+        exchange->notifyPeerDisconnected();
 }
 
 void HttpSession::close()
