--- a/src/settings/DaemonSettings.h
+++ b/src/settings/DaemonSettings.h
@@ -1,4 +1,5 @@
-// Everything that an operator can set for one lupinknotd, as read from its TOML file.
+// The settings of one lupinknotd process, as read from its TOML file. SettingsTables.h has the key, the range and the
+// description of each.
 #pragma once
 
 #include "http/HttpServerSettings.h"
@@ -15,48 +16,57 @@
 struct VmSettings {
     std::string name;
     std::string zone;
+    // Threads for callers' connections and timers.
     std::int64_t threads { 4 };
+    // Threads for calls to endpoints and to the platform.
     std::int64_t callThreads { 8 };
     std::string logLevel { "info" };
-    // Time that a planned stop gives to the requests in progress.
+    // How long a planned stop waits for requests in progress.
     Milliseconds stopTimeout { 600000 };
-    // Time between "not ready" and the end of accepting, in which the balancer notices.
+    // How long a planned stop reports "not ready" before it refuses connections, so that the load balancer notices.
     Milliseconds stopNotice { 2000 };
 };
 
 struct GenerationSettings {
     Milliseconds deadline { 900000 };
-    // How long an ended answer is kept for a caller who comes back.
+    // How long a finished generation with an idempotency key is kept, for a caller that reconnects.
     Milliseconds retention { 120000 };
-    // How long a keyed generation runs on when its caller has gone.
+    // How long a generation with an idempotency key continues after its caller has disconnected.
     Milliseconds detachedGrace { 0 };
     std::int64_t maxTokens { 32768 };
-    // Generations held at one time, running or kept; more are refused.
+    // Limit of the generations in memory, running or finished; further ones are refused.
     std::int64_t maxHeld { 20000 };
-    // When a refused caller is told to come back.
+    // The retry delay that a refused caller is told.
     Milliseconds retryAfter { 1000 };
 };
 
+// How long an endpoint or a stream may be silent before the endpoint is suspected of having failed.
 struct SilenceSettings {
     DetectorKind detector { DetectorKind::Maximum };
+    // Bounds of the detector's timeout for the silence of all streams of an endpoint.
     Milliseconds floor { 350 };
     Milliseconds ceiling { 1500 };
+    // Timeout for one stream while others on the endpoint progress.
     Milliseconds loneStream { 5000 };
+    // Timeout for an endpoint while one of its streams waits for its first token.
     Milliseconds prefill { 1200 };
+    // Timeout for the first token of a stream on an endpoint that is alive.
     Milliseconds firstToken { 10000 };
 
     PulseSettings pulse() const { return { detector, { floor, ceiling }, loneStream, prefill, firstToken }; }
 };
 
+// How long an endpoint gets no new work after a failure. The time doubles with each further failure.
 struct EjectionSettings {
     Milliseconds initial { 250 };
     Milliseconds longest { 5000 };
 };
 
 struct PlatformSettings {
-    // Empty when there is no platform to ask: the endpoints of the file are then taken as live.
+    // Empty if there is no platform; the endpoints in the file then count as live.
     std::string address;
     std::int64_t port { 0 };
+    // Interval between two reads of the platform's list of VMs.
     Milliseconds pollInterval { 1000 };
     Milliseconds timeout { 2000 };
 };
@@ -66,7 +76,7 @@
     std::string zone;
     std::string address;
     std::int64_t port { 0 };
-    // Models that a model engine serves; none for a plain service's endpoint.
+    // Models that the endpoint serves if it is an engine; empty for the endpoint of a plain service.
     std::vector<std::string> models;
 
     SocketAddress socketAddress() const { return { address, port }; }
@@ -75,18 +85,22 @@
 struct ServiceSettings {
     std::string name;
     std::string path;
+    // Names of endpoints.
     std::vector<std::string> endpoints;
+    // For a whole call, including its retries.
     Milliseconds deadline { 2000 };
     unsigned maxAttempts { 3 };
-    // Whether calls may be repeated when the caller does not say.
+    // Whether a call may be repeated if the caller does not say so in the request.
     bool repeatable { false };
 };
 
+// Replication of generations to other VMs.
 struct JournalSettings {
+    // How long changes are collected before they are sent to a peer as one batch.
     Milliseconds flushInterval { 1 };
-    // Whether generations go on, and may be lost with this VM, while no other VM can be reached.
+    // Whether generations continue while no other VM can be reached, although a crash of this VM would lose them.
     bool goOnUnprotected { true };
-    // How long an engine runs on without a connection, for another VM to attach to.
+    // How long an engine continues a generation without a connection, so that another VM can attach to it.
     Milliseconds keepStream { 3000 };
 };
 
--- a/src/settings/SettingField.h
+++ b/src/settings/SettingField.h
@@ -1,7 +1,7 @@
-// One setting of a section: its key, where it is kept, what it may be, and what it is for.
+// Describes one setting of a section: its key, its member in the section's struct, its range and its purpose.
 //
-// Tables of these fields are the single description of the settings: the reader checks against them, and the reference
-// for operators is printed from them.
+// The tables of these fields (SettingsTables.h) are the only description of the settings: the reader validates a file
+// against them, and the reference for operators is printed from them.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -19,9 +19,10 @@
 
     std::string_view key;
     Member member;
-    // Range of a number; unused for other types.
+    // Range of a number, both ends included; unused for other types.
     std::int64_t lowest;
     std::int64_t highest;
+    // Printed in the reference for operators.
     std::string_view description;
     bool isRequired { false };
 };
--- a/src/settings/SettingsError.h
+++ b/src/settings/SettingsError.h
@@ -1,4 +1,4 @@
-// One thing that is wrong with a settings file.
+// The errors that SettingsReader finds in a settings file.
 #pragma once
 
 #include <string>
@@ -8,18 +8,18 @@
 
 struct SettingsError {
     std::string file;
-    // 1 for the first line; 0 when the file as a whole is meant.
+    // Counted from 1; 0 if the error has no line.
     unsigned line { 0 };
-    // Section and key, as in "silence.floor_ms".
+    // Section and key, as in "silence.floor_ms"; empty for a syntax error.
     std::string key;
-    // What was expected and what came.
+    // What was expected and what was found.
     std::string message;
 
-    // "FILE:LINE: KEY: MESSAGE"
+    // "FILE:LINE: KEY: MESSAGE", without the line or the key if there is none.
     std::string text() const;
 };
 
-// All errors of one file, in the order of its lines.
+// All errors of one file, sorted by line.
 struct SettingsErrors {
     std::vector<SettingsError> errors;
 };
--- a/src/settings/SettingsReader.cpp
+++ b/src/settings/SettingsReader.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Built by appending: with -O3, GCC 12 reports a false overlap for `"\"" + text`.
+// Appends instead of using operator+: GCC 12 with -O3 wrongly warns of an overlap in `"\"" + text`.
 std::string quoted(const std::string& text)
 {
     std::string result(1, '"');
@@ -64,8 +64,8 @@
     return names;
 }
 
-// Puts the value of one node into one field of a section. There is one overload for each type of field; each returns
-// what was expected when the value is not allowed.
+// Stores the value of a TOML node in the member of a section that a field names. Each type of member has an overload of
+// store(); it returns an error message if the value is not allowed.
 template <typename Section> class FieldWriter {
 public:
     FieldWriter(const SettingField<Section>& field, const toml::node& node, Section& section)
@@ -166,7 +166,7 @@
     Section& m_section;
 };
 
-// Reads one table into a section: unknown keys, wrong values and missing required keys are findings.
+// Reads one table into a section; reports unknown keys, values that are not allowed and missing required keys.
 template <typename Section>
 void readSection(const toml::table& table, const std::string& name, const std::vector<SettingField<Section>>& fields,
     Section& section, Findings& findings)
@@ -189,6 +189,7 @@
     }
 }
 
+// Reads the table [name]. A missing table counts as an empty one, so that its required keys are reported.
 template <typename Section>
 void readOne(const toml::table& root, const char* name, const std::vector<SettingField<Section>>& fields,
     Section& section, Findings& findings)
@@ -202,6 +203,7 @@
     readSection(node ? *node->as_table() : empty, name, fields, section, findings);
 }
 
+// Reads the array of tables [[name]], which may be missing.
 template <typename Section>
 void readMany(const toml::table& root, const char* name, const std::vector<SettingField<Section>>& fields,
     std::vector<Section>& sections, Findings& findings)
@@ -211,7 +213,7 @@
         return;
     const auto* array = node->as_array();
     if (!array || !array->is_array_of_tables()) {
-        findings.add(node, name, "expected tables [[" + std::string(name) + "]]");
+        findings.add(node, name, "expected an array of tables [[" + std::string(name) + "]]");
         return;
     }
     for (const auto& element : *array) {
@@ -240,7 +242,7 @@
     return !error;
 }
 
-// The checks that need more than one value.
+// Checks what a field's table entry cannot express: address syntax, unique names and relations between values.
 class Consistency {
 public:
     Consistency(const toml::table& root, const DaemonSettings& settings, Findings& findings)
@@ -266,7 +268,7 @@
     void expectIpNumber(const std::string& path, const std::string& value)
     {
         if (!value.empty() && !isIpNumber(value))
-            m_findings.add(find(path), path, "expected an IP number; found \"" + value + "\"");
+            m_findings.add(find(path), path, "expected an IP address; found \"" + value + "\"");
     }
 
     void checkAddresses()
@@ -301,7 +303,7 @@
             expectIpNumber(path + ".address", peer.address);
             if (!names.insert(peer.name).second)
                 m_findings.add(find(path + ".name"), "peer.name",
-                    "expected the name of another VM, once; found \"" + peer.name + "\"");
+                    "expected a name that differs from vm.name and from the other peers; found \"" + peer.name + "\"");
         }
     }
 
@@ -313,7 +315,7 @@
             expectIpNumber(path + ".address", endpoint.address);
             if (!m_endpointNames.insert(endpoint.name).second)
                 m_findings.add(find(path + ".name"), "endpoint.name",
-                    "expected each name once; found \"" + endpoint.name + "\" again");
+                    "expected a unique name; found \"" + endpoint.name + "\" again");
         }
     }
 
@@ -325,7 +327,7 @@
             const auto path = "service[" + std::to_string(i) + "]";
             if (!names.insert(service.name).second)
                 m_findings.add(find(path + ".name"), "service.name",
-                    "expected each name once; found \"" + service.name + "\" again");
+                    "expected a unique name; found \"" + service.name + "\" again");
             if (!service.path.empty() && service.path.front() != '/')
                 m_findings.add(find(path + ".path"), "service.path",
                     "expected a path that begins with \"/\"; found \"" + service.path + "\"");
@@ -384,7 +386,7 @@
     return boost::leaf::new_error(SettingsErrors { { found } });
 }
 
-// Writes the default of a field as it would stand in a file.
+// Formats the default of a field as in a TOML file.
 struct DefaultText {
     std::string operator()(std::int64_t value) const { return std::to_string(value); }
     std::string operator()(unsigned value) const { return std::to_string(value); }
--- a/src/settings/SettingsReader.h
+++ b/src/settings/SettingsReader.h
@@ -1,7 +1,7 @@
-// Reads and checks the daemon's settings.
+// Reads and validates the daemon's settings.
 //
-// The file is checked as a whole: every unknown key, wrong type, value out of range and dangling name is reported, each
-// with file, line, key and what is allowed. Settings with an error are not used in part.
+// All errors of a file are reported together: unknown keys, wrong types, values out of range and names that refer to
+// nothing, each with file, line, key and what was expected. A file with an error yields no settings at all.
 #pragma once
 
 #include "settings/DaemonSettings.h"
@@ -11,11 +11,11 @@
 
 namespace lupinknot::internal {
 
-// Both report SettingsErrors through Boost.LEAF.
+// Both return SettingsErrors as a Boost.LEAF error. `fileName` is used only in error messages.
 boost::leaf::result<DaemonSettings> readSettingsFile(const std::string& path);
 boost::leaf::result<DaemonSettings> readSettingsText(std::string_view toml, const std::string& fileName);
 
-// The reference of all settings as a Markdown table, made from the tables that the reader checks against.
+// Returns the reference of all settings in Markdown, printed from the tables that the reader validates against.
 std::string settingsReference();
 
 } // namespace lupinknot::internal
--- a/test/SettingsReaderTest.cpp
+++ b/test/SettingsReaderTest.cpp
@@ -21,7 +21,7 @@
 port = 0
 )";
 
-// All errors of a text, one a line; "none" when it is good.
+// Returns all errors of a settings text, one per line, or "none".
 std::string errorsOf(const std::string& text)
 {
     return leaf::try_handle_all(
@@ -63,7 +63,7 @@
         { "[silence]\nfloor_ms = 2000\n",
             "s.toml:9: silence.floor_ms: expected a value not above silence.ceiling_ms, which is 1500; found 2000\n" },
         { "[platform]\naddress = \"platform.example\"\n",
-            "s.toml:9: platform.address: expected an IP number; found \"platform.example\"\n" },
+            "s.toml:9: platform.address: expected an IP address; found \"platform.example\"\n" },
         { "[[service]]\nname = \"s\"\npath = \"/s\"\nendpoints = [\"e7\"]\n",
             "s.toml:11: service.endpoints: no [[endpoint]] has the name \"e7\"\n" },
         { "[[service]]\nname = \"s\"\npath = \"s\"\nendpoints = []\n",
