--- a/src/settings/SettingField.h
+++ b/src/settings/SettingField.h
@@ -20,8 +20,8 @@
     std::string_view key;
     Member member;
     // Range of a number, both ends included; unused for other types.
-    std::int64_t lowest;
-    std::int64_t highest;
+    std::int64_t minimum;
+    std::int64_t maximum;
     // Printed in the reference for operators.
     std::string_view description;
     bool isRequired { false };
--- a/src/settings/SettingsReader.cpp
+++ b/src/settings/SettingsReader.cpp
@@ -24,9 +24,9 @@
 }
 
 // Collects the errors of one file.
-class Findings {
+class ErrorCollector {
 public:
-    explicit Findings(std::string file)
+    explicit ErrorCollector(std::string file)
         : m_file(std::move(file))
     {
     }
@@ -34,19 +34,19 @@
     void add(const toml::node* node, std::string key, std::string message)
     {
         const auto line = node ? node->source().begin.line : 0;
-        m_found.errors.push_back({ m_file, line, std::move(key), std::move(message) });
+        m_errors.errors.push_back({ m_file, line, std::move(key), std::move(message) });
     }
-    bool areNone() const { return m_found.errors.empty(); }
-    SettingsErrors take()
+    bool isEmpty() const { return m_errors.errors.empty(); }
+    SettingsErrors takeErrors()
     {
         const auto isEarlier = [](const SettingsError& a, const SettingsError& b) { return a.line < b.line; };
-        std::stable_sort(m_found.errors.begin(), m_found.errors.end(), isEarlier);
-        return std::move(m_found);
+        std::stable_sort(m_errors.errors.begin(), m_errors.errors.end(), isEarlier);
+        return std::move(m_errors);
     }
 
 private:
     std::string m_file;
-    SettingsErrors m_found;
+    SettingsErrors m_errors;
 };
 
 std::string typeName(const toml::node& node)
@@ -100,7 +100,7 @@
     {
         const auto value = m_node.value_exact<std::string>();
         if (!value)
-            return wrongType("a string");
+            return wrongTypeMessage("a string");
         if (value->empty() && m_field.isRequired)
             return "expected a string that is not empty";
         m_section.*member = *value;
@@ -111,7 +111,7 @@
     {
         const auto value = m_node.value_exact<bool>();
         if (!value)
-            return wrongType("true or false");
+            return wrongTypeMessage("true or false");
         m_section.*member = *value;
         return std::nullopt;
     }
@@ -131,12 +131,12 @@
     {
         const auto* array = m_node.as_array();
         if (!array)
-            return wrongType("a list of strings");
+            return wrongTypeMessage("a list of strings");
         std::vector<std::string> values;
         for (const auto& element : *array) {
             const auto value = element.value_exact<std::string>();
             if (!value)
-                return wrongType("a list of strings");
+                return wrongTypeMessage("a list of strings");
             values.push_back(*value);
         }
         m_section.*member = std::move(values);
@@ -147,16 +147,16 @@
     {
         const auto value = m_node.value_exact<std::int64_t>();
         const auto range
-            = "a whole number from " + std::to_string(m_field.lowest) + " to " + std::to_string(m_field.highest);
+            = "a whole number from " + std::to_string(m_field.minimum) + " to " + std::to_string(m_field.maximum);
         if (!value)
-            return wrongType(range);
-        if (*value < m_field.lowest || *value > m_field.highest)
+            return wrongTypeMessage(range);
+        if (*value < m_field.minimum || *value > m_field.maximum)
             return "expected " + range + "; found " + std::to_string(*value);
         storeValue(*value);
         return std::nullopt;
     }
 
-    std::string wrongType(const std::string& expected) const
+    std::string wrongTypeMessage(const std::string& expected) const
     {
         return "expected " + expected + "; found a value of type " + typeName(m_node);
     }
@@ -169,56 +169,56 @@
 // Reads one table into a section; reports unknown keys, values that are not allowed and missing required keys.
 template <typename Section>
 void readSection(const toml::table& table, const std::string& name, const std::vector<SettingField<Section>>& fields,
-    Section& section, Findings& findings)
+    Section& section, ErrorCollector& collector)
 {
     for (const auto& entry : table) {
         const std::string_view key = entry.first;
-        const auto isField = [key](const SettingField<Section>& field) { return field.key == key; };
-        const auto field = std::find_if(fields.begin(), fields.end(), isField);
+        const auto hasKey = [key](const SettingField<Section>& field) { return field.key == key; };
+        const auto field = std::find_if(fields.begin(), fields.end(), hasKey);
         const auto path = name + "." + std::string(key);
         if (field == fields.end()) {
-            findings.add(&entry.second, path, "unknown key");
+            collector.add(&entry.second, path, "unknown key");
             continue;
         }
         if (auto problem = FieldWriter<Section>(*field, entry.second, section).write())
-            findings.add(&entry.second, path, *problem);
+            collector.add(&entry.second, path, *problem);
     }
     for (const auto& field : fields) {
         if (field.isRequired && !table.contains(field.key))
-            findings.add(&table, name + "." + std::string(field.key), "a value is required");
+            collector.add(&table, name + "." + std::string(field.key), "a value is required");
     }
 }
 
 // Reads the table [name]. A missing table counts as an empty one, so that its required keys are reported.
 template <typename Section>
-void readOne(const toml::table& root, const char* name, const std::vector<SettingField<Section>>& fields,
-    Section& section, Findings& findings)
+void readSingleSection(const toml::table& root, const char* name, const std::vector<SettingField<Section>>& fields,
+    Section& section, ErrorCollector& collector)
 {
     const toml::table empty;
     const auto* node = root.get(name);
     if (node && !node->is_table()) {
-        findings.add(node, name, "expected a table [" + std::string(name) + "]");
+        collector.add(node, name, "expected a table [" + std::string(name) + "]");
         return;
     }
-    readSection(node ? *node->as_table() : empty, name, fields, section, findings);
+    readSection(node ? *node->as_table() : empty, name, fields, section, collector);
 }
 
 // Reads the array of tables [[name]], which may be missing.
 template <typename Section>
-void readMany(const toml::table& root, const char* name, const std::vector<SettingField<Section>>& fields,
-    std::vector<Section>& sections, Findings& findings)
+void readRepeatedSection(const toml::table& root, const char* name, const std::vector<SettingField<Section>>& fields,
+    std::vector<Section>& sections, ErrorCollector& collector)
 {
     const auto* node = root.get(name);
     if (!node)
         return;
     const auto* array = node->as_array();
     if (!array || !array->is_array_of_tables()) {
-        findings.add(node, name, "expected an array of tables [[" + std::string(name) + "]]");
+        collector.add(node, name, "expected an array of tables [[" + std::string(name) + "]]");
         return;
     }
     for (const auto& element : *array) {
         Section section;
-        readSection(*element.as_table(), name, fields, section, findings);
+        readSection(*element.as_table(), name, fields, section, collector);
         sections.push_back(std::move(section));
     }
 }
@@ -226,16 +226,16 @@
 constexpr std::array<std::string_view, 13> sectionNames { "vm", "listener", "admin", "generation", "recovery",
     "silence", "ejection", "platform", "cluster", "journal", "peer", "endpoint", "service" };
 
-void reportUnknownSections(const toml::table& root, Findings& findings)
+void reportUnknownSections(const toml::table& root, ErrorCollector& collector)
 {
     for (const auto& entry : root) {
         const std::string_view name = entry.first;
         if (std::find(sectionNames.begin(), sectionNames.end(), name) == sectionNames.end())
-            findings.add(&entry.second, std::string(name), "unknown section");
+            collector.add(&entry.second, std::string(name), "unknown section");
     }
 }
 
-bool isIpNumber(const std::string& text)
+bool isIpAddress(const std::string& text)
 {
     boost::system::error_code error;
     boost::asio::ip::make_address(text, error);
@@ -243,12 +243,12 @@
 }
 
 // Checks what a field's table entry cannot express: address syntax, unique names and relations between values.
-class Consistency {
+class ConsistencyCheck {
 public:
-    Consistency(const toml::table& root, const DaemonSettings& settings, Findings& findings)
+    ConsistencyCheck(const toml::table& root, const DaemonSettings& settings, ErrorCollector& collector)
         : m_root(root)
         , m_settings(settings)
-        , m_findings(findings)
+        , m_collector(collector)
     {
     }
 
@@ -265,23 +265,23 @@
 private:
     const toml::node* find(const std::string& path) const { return m_root.at_path(path).node(); }
 
-    void expectIpNumber(const std::string& path, const std::string& value)
+    void expectIpAddress(const std::string& path, const std::string& value)
     {
-        if (!value.empty() && !isIpNumber(value))
-            m_findings.add(find(path), path, "expected an IP address; found \"" + value + "\"");
+        if (!value.empty() && !isIpAddress(value))
+            m_collector.add(find(path), path, "expected an IP address; found \"" + value + "\"");
     }
 
     void checkAddresses()
     {
-        expectIpNumber("listener.address", m_settings.listener.address);
-        expectIpNumber("admin.address", m_settings.admin.address);
-        expectIpNumber("platform.address", m_settings.platform.address);
+        expectIpAddress("listener.address", m_settings.listener.address);
+        expectIpAddress("admin.address", m_settings.admin.address);
+        expectIpAddress("platform.address", m_settings.platform.address);
     }
 
     void checkSilence()
     {
         if (m_settings.silence.floor > m_settings.silence.ceiling)
-            m_findings.add(find("silence.floor_ms"), "silence.floor_ms",
+            m_collector.add(find("silence.floor_ms"), "silence.floor_ms",
                 "expected a value not above silence.ceiling_ms, which is "
                     + std::to_string(m_settings.silence.ceiling.count()) + "; found "
                     + std::to_string(m_settings.silence.floor.count()));
@@ -290,7 +290,7 @@
     void checkLogLevel()
     {
         if (!valueIn(logLevelNames, m_settings.vm.logLevel))
-            m_findings.add(find("vm.log_level"), "vm.log_level",
+            m_collector.add(find("vm.log_level"), "vm.log_level",
                 "expected debug, info, warning or error; found \"" + m_settings.vm.logLevel + "\"");
     }
 
@@ -300,9 +300,9 @@
         for (std::size_t i = 0; i < m_settings.peers.size(); ++i) {
             const auto& peer = m_settings.peers[i];
             const auto path = "peer[" + std::to_string(i) + "]";
-            expectIpNumber(path + ".address", peer.address);
+            expectIpAddress(path + ".address", peer.address);
             if (!names.insert(peer.name).second)
-                m_findings.add(find(path + ".name"), "peer.name",
+                m_collector.add(find(path + ".name"), "peer.name",
                     "expected a name that differs from vm.name and from the other peers; found \"" + peer.name + "\"");
         }
     }
@@ -312,9 +312,9 @@
         for (std::size_t i = 0; i < m_settings.endpoints.size(); ++i) {
             const auto& endpoint = m_settings.endpoints[i];
             const auto path = "endpoint[" + std::to_string(i) + "]";
-            expectIpNumber(path + ".address", endpoint.address);
+            expectIpAddress(path + ".address", endpoint.address);
             if (!m_endpointNames.insert(endpoint.name).second)
-                m_findings.add(find(path + ".name"), "endpoint.name",
+                m_collector.add(find(path + ".name"), "endpoint.name",
                     "expected a unique name; found \"" + endpoint.name + "\" again");
         }
     }
@@ -326,10 +326,10 @@
             const auto& service = m_settings.services[i];
             const auto path = "service[" + std::to_string(i) + "]";
             if (!names.insert(service.name).second)
-                m_findings.add(find(path + ".name"), "service.name",
+                m_collector.add(find(path + ".name"), "service.name",
                     "expected a unique name; found \"" + service.name + "\" again");
             if (!service.path.empty() && service.path.front() != '/')
-                m_findings.add(find(path + ".path"), "service.path",
+                m_collector.add(find(path + ".path"), "service.path",
                     "expected a path that begins with \"/\"; found \"" + service.path + "\"");
             checkServiceEndpoints(service, path);
         }
@@ -339,44 +339,44 @@
     {
         for (const auto& name : service.endpoints) {
             if (!m_endpointNames.count(name))
-                m_findings.add(
+                m_collector.add(
                     find(path + ".endpoints"), "service.endpoints", "no [[endpoint]] has the name \"" + name + "\"");
         }
     }
 
     const toml::table& m_root;
     const DaemonSettings& m_settings;
-    Findings& m_findings;
+    ErrorCollector& m_collector;
     std::set<std::string> m_endpointNames;
 };
 
-DaemonSettings readSections(const toml::table& root, Findings& findings)
+DaemonSettings readSections(const toml::table& root, ErrorCollector& collector)
 {
     DaemonSettings settings;
-    reportUnknownSections(root, findings);
-    readOne(root, "vm", vmFields, settings.vm, findings);
-    readOne(root, "listener", listenerFields, settings.listener, findings);
-    readOne(root, "admin", listenerFields, settings.admin, findings);
-    readOne(root, "generation", generationFields, settings.generation, findings);
-    readOne(root, "recovery", recoveryFields, settings.recovery, findings);
-    readOne(root, "silence", silenceFields, settings.silence, findings);
-    readOne(root, "ejection", ejectionFields, settings.ejection, findings);
-    readOne(root, "platform", platformFields, settings.platform, findings);
-    readOne(root, "cluster", clusterFields, settings.cluster, findings);
-    readOne(root, "journal", journalFields, settings.journal, findings);
-    readMany(root, "peer", peerFields, settings.peers, findings);
-    readMany(root, "endpoint", endpointFields, settings.endpoints, findings);
-    readMany(root, "service", serviceFields, settings.services, findings);
-    Consistency(root, settings, findings).check();
+    reportUnknownSections(root, collector);
+    readSingleSection(root, "vm", vmFields, settings.vm, collector);
+    readSingleSection(root, "listener", listenerFields, settings.listener, collector);
+    readSingleSection(root, "admin", listenerFields, settings.admin, collector);
+    readSingleSection(root, "generation", generationFields, settings.generation, collector);
+    readSingleSection(root, "recovery", recoveryFields, settings.recovery, collector);
+    readSingleSection(root, "silence", silenceFields, settings.silence, collector);
+    readSingleSection(root, "ejection", ejectionFields, settings.ejection, collector);
+    readSingleSection(root, "platform", platformFields, settings.platform, collector);
+    readSingleSection(root, "cluster", clusterFields, settings.cluster, collector);
+    readSingleSection(root, "journal", journalFields, settings.journal, collector);
+    readRepeatedSection(root, "peer", peerFields, settings.peers, collector);
+    readRepeatedSection(root, "endpoint", endpointFields, settings.endpoints, collector);
+    readRepeatedSection(root, "service", serviceFields, settings.services, collector);
+    ConsistencyCheck(root, settings, collector).check();
     return settings;
 }
 
-boost::leaf::result<DaemonSettings> readTable(const toml::table& root, const std::string& fileName)
+boost::leaf::result<DaemonSettings> readSettings(const toml::table& root, const std::string& fileName)
 {
-    Findings findings(fileName);
-    auto settings = readSections(root, findings);
-    if (!findings.areNone())
-        return boost::leaf::new_error(findings.take());
+    ErrorCollector collector(fileName);
+    auto settings = readSections(root, collector);
+    if (!collector.isEmpty())
+        return boost::leaf::new_error(collector.takeErrors());
     return settings;
 }
 
@@ -387,7 +387,7 @@
 }
 
 // Formats the default of a field as in a TOML file.
-struct DefaultText {
+struct DefaultFormatter {
     std::string operator()(std::int64_t value) const { return std::to_string(value); }
     std::string operator()(unsigned value) const { return std::to_string(value); }
     std::string operator()(Milliseconds value) const { return std::to_string(value.count()); }
@@ -403,10 +403,10 @@
     out << "\n### " << name << "\n\n| key | default | allowed | what it is for |\n|---|---|---|---|\n";
     static const Section defaults {};
     for (const auto& field : fields) {
-        const auto value = std::visit([&](auto member) { return DefaultText {}(defaults.*member); }, field.member);
+        const auto value = std::visit([&](auto member) { return DefaultFormatter {}(defaults.*member); }, field.member);
         out << "| `" << field.key << "` | " << (field.isRequired ? "required" : "`" + value + "`") << " | ";
-        if (field.lowest != field.highest)
-            out << field.lowest << " to " << field.highest;
+        if (field.minimum != field.maximum)
+            out << field.minimum << " to " << field.maximum;
         out << " | " << field.description << " |\n";
     }
 }
@@ -416,7 +416,7 @@
 boost::leaf::result<DaemonSettings> readSettingsFile(const std::string& path)
 {
     try {
-        return readTable(toml::parse_file(path), path);
+        return readSettings(toml::parse_file(path), path);
     } catch (const toml::parse_error& error) {
         return syntaxError(error, path);
     }
@@ -425,7 +425,7 @@
 boost::leaf::result<DaemonSettings> readSettingsText(std::string_view text, const std::string& fileName)
 {
     try {
-        return readTable(toml::parse(text, fileName), fileName);
+        return readSettings(toml::parse(text, fileName), fileName);
     } catch (const toml::parse_error& error) {
         return syntaxError(error, fileName);
     }
--- a/test/SettingsReaderTest.cpp
+++ b/test/SettingsReaderTest.cpp
@@ -12,7 +12,7 @@
 
 namespace leaf = boost::leaf;
 
-const std::string good = R"([vm]
+const std::string minimalSettings = R"([vm]
 name = "a1"
 zone = "z1"
 [listener]
@@ -38,7 +38,7 @@
         [] { return std::string("an error of another type"); });
 }
 
-struct BadSettings {
+struct InvalidSettingsCase {
     const char* lines;
     const char* expected;
 };
@@ -47,11 +47,11 @@
 
 TEST_GROUP(SettingsReader) {};
 
-TEST(SettingsReader, TakesTheLeastThatIsRequired) { STRCMP_EQUAL("none", errorsOf(good).c_str()); }
+TEST(SettingsReader, AcceptsAFileWithTheRequiredKeysOnly) { STRCMP_EQUAL("none", errorsOf(minimalSettings).c_str()); }
 
-TEST(SettingsReader, NamesFileLineKeyAndRange)
+TEST(SettingsReader, ReportsFileLineKeyAndExpectedValue)
 {
-    const BadSettings cases[] = {
+    const InvalidSettingsCase cases[] = {
         { "[silence]\nfloor_ms = 0\n",
             "s.toml:9: silence.floor_ms: expected a whole number from 1 to 86400000; found 0\n" },
         { "[silence]\nfloor_ms = \"x\"\n",
@@ -71,23 +71,23 @@
         { "[[endpoint]]\nname = \"e\"\nzone = \"z\"\naddress = \"10.0.0.1\"\n",
             "s.toml:8: endpoint.port: a value is required\n" },
     };
-    for (const auto& bad : cases)
-        STRCMP_EQUAL(bad.expected, errorsOf(good + bad.lines).c_str());
+    for (const auto& badCase : cases)
+        STRCMP_EQUAL(badCase.expected, errorsOf(minimalSettings + badCase.lines).c_str());
 }
 
 TEST(SettingsReader, ReportsEveryErrorOfAFile)
 {
-    const auto errors = errorsOf(good + "[recovery]\nmax_attempts = 0\nendpoint_wait_ms = -1\n");
+    const auto errors = errorsOf(minimalSettings + "[recovery]\nmax_attempts = 0\nendpoint_wait_ms = -1\n");
     STRCMP_CONTAINS("s.toml:9: recovery.max_attempts", errors.c_str());
     STRCMP_CONTAINS("s.toml:10: recovery.endpoint_wait_ms", errors.c_str());
 }
 
-TEST(SettingsReader, NamesTheLineOfASyntaxError)
+TEST(SettingsReader, ReportsTheLineOfASyntaxError)
 {
-    STRCMP_CONTAINS("s.toml:8:", errorsOf(good + "[silence\n").c_str());
+    STRCMP_CONTAINS("s.toml:8:", errorsOf(minimalSettings + "[silence\n").c_str());
 }
 
-TEST(SettingsReader, NamesAFileThatCannotBeRead)
+TEST(SettingsReader, ReportsAFileThatCannotBeRead)
 {
     const auto text = leaf::try_handle_all(
         []() -> leaf::result<std::string> {
@@ -99,7 +99,7 @@
     STRCMP_CONTAINS("/nonexistent/s.toml", text.c_str());
 }
 
-TEST(SettingsReader, DescribesEverySectionInItsReference)
+TEST(SettingsReader, ReferenceListsDefaultsRangesAndRequiredKeys)
 {
     const auto reference = settingsReference();
     STRCMP_CONTAINS("| `floor_ms` | `350` | 1 to 86400000 |", reference.c_str());
