--- a/src/ctl/LogReader.h
+++ b/src/ctl/LogReader.h
@@ -1,4 +1,4 @@
-// Reads the events out of a VM's log.
+// Reads the events in the log of a VM.
 #pragma once
 
 #include <functional>
@@ -8,8 +8,8 @@
 
 namespace lupinknot::internal {
 
-// Calls back with each event and its text; log collectors may put a prefix of their own before it. Lines that hold no
-// event are passed over. Not thread-safe.
+// Calls back with each event and its JSON text. Text before the JSON object, such as a log collector's prefix, is
+// skipped, and so are lines without an event. Not thread-safe.
 void readLog(std::istream&, const std::function<void(const nlohmann::json& event, const std::string& text)>&);
 
 } // namespace lupinknot::internal
--- a/src/ctl/LossReport.cpp
+++ b/src/ctl/LossReport.cpp
@@ -31,7 +31,7 @@
     return found != event.end() && found->is_boolean() && found->get<bool>();
 }
 
-// Answers that promise that the request has not run.
+// Whether a response with this status guarantees that the request has not run.
 bool isPromise(std::int64_t status)
 {
     constexpr std::array<std::int64_t, 4> promises { 408, 421, 429, 503 };
@@ -41,7 +41,7 @@
 } // namespace
 
 struct LossReport::Attempt {
-    // From the route; 0 when the log does not say.
+    // Limits of the route in milliseconds; 0 if the log has none.
     std::int64_t objective { 0 };
     std::int64_t longestPause { 0 };
     std::int64_t promptTokens { 0 };
@@ -53,7 +53,7 @@
     std::int64_t longestResumption { 0 };
     bool wasLongestCold { false };
     bool hasLeft { false };
-    // Set by the line that ends it.
+    // Set by the event that ends the attempt.
     bool isDone { false };
     std::string outcome;
     std::int64_t status { 0 };
@@ -102,9 +102,9 @@
     } else if (name == "store.called") {
         ++m_storeCalls[textIn(event, "purpose") + " " + textIn(event, "table")];
     } else if (name == "request.waits-for-news") {
-        ++m_waits["news at the start of the VM"];
+        ++m_waits["configuration or endpoints after the start of the VM"];
     } else if (name == "request.waits-for-place") {
-        ++m_waits["a place, after " + textIn(event, "reason")];
+        ++m_waits["capacity, after " + textIn(event, "reason")];
     } else if (name == "request.refused" || (name == "stream.done" && isPromise(numberIn(event, "status")))) {
         const auto zone = m_zonesOfVms.find(textIn(event, "vm"));
         const auto reason = textIn(event, name == "request.refused" ? "reason" : "outcome");
@@ -198,8 +198,8 @@
     }
     for (const auto& [failure, number] : m_lostRuns)
         out << std::setw(width) << number << "  runs lost: " << failure << "\n";
-    out << std::setw(width) << m_coldResumptions << "  runs that went on by reading the prompt again, "
-        << m_tokensReadAgain << " tokens\n";
+    out << std::setw(width) << m_coldResumptions << "  runs resumed with a new prefill, " << m_tokensReadAgain
+        << " tokens\n";
     writeCounts(out, m_refusals, "refused: ");
     writeCounts(out, m_waits, "waits for ");
     writeCounts(out, m_storeCalls, "calls to the store: ");
--- a/src/ctl/LossReport.h
+++ b/src/ctl/LossReport.h
@@ -1,13 +1,13 @@
-// Says by cause how requests ended late or not at all, from the logs of the VMs that served them.
+// Counts by cause the requests that were late, failed or were refused, from the logs of the VMs that served them.
 //
 //     LossReport report;
 //     report.read(file1);
 //     report.read(file2);
 //     report.write(std::cout);
 //
-// A request is one attempt of a caller; one that comes back is counted again, as returned. Refusals are also counted by
-// reason and availability zone, waits by what the request waited for, calls to the platform's store by purpose.
-// Not thread-safe.
+// Each attempt of a caller counts as one request; an attempt that returns to an earlier stream is counted separately,
+// as returned. Refusals are also counted by reason and availability zone, waits by what the request waited for, and
+// calls to the platform's store by purpose. Not thread-safe.
 #pragma once
 
 #include "lupinknot/EnumNames.h"
@@ -21,33 +21,33 @@
 
 namespace lupinknot::internal {
 
-// How an attempt ended.
+// How an attempt of a caller ended.
 enum class AttemptEnd {
     InTime,
-    LateFirstEvent, // The first event came after the route's objective.
-    LateFromCopy, // A pause was too long although the stream went on from a copy.
-    LateCold, // A pause was too long because the prompt was read again.
-    LateAnswer, // A plain call took longer than its route's objective.
-    ServiceError, // The service itself answered with an error.
-    Refused, // Ended by this VM without having run.
-    Failed, // Ended by this VM after it may have run.
-    CallerLeftEarly, // Before the first event or the answer.
-    CallerLeftLate, // In the middle of its stream.
-    VmEnded, // Its VM's log ends or begins anew before it does.
+    LateFirstEvent, // The first event came later than the route's objective.
+    LateFromCopy, // The longest pause exceeded the limit; the stream resumed from a KV-cache copy.
+    LateCold, // The longest pause exceeded the limit; the stream resumed with a new prefill.
+    LateAnswer, // A plain call took longer than the route's objective.
+    ServiceError, // The service responded with a status of 500 or more.
+    Refused, // The VM rejected the request before it ran.
+    Failed, // The VM ended the request after it may have run.
+    CallerLeftEarly, // The caller disconnected before the first event or the response.
+    CallerLeftLate, // The caller disconnected during its stream.
+    VmEnded, // The log has no end of the attempt: its VM crashed or stopped first.
 };
 
 inline constexpr std::array<EnumName<AttemptEnd>, 11> attemptEndNames { {
     { AttemptEnd::InTime, "in time" },
     { AttemptEnd::LateFirstEvent, "late: first event" },
-    { AttemptEnd::LateFromCopy, "late: resumed from a copy" },
-    { AttemptEnd::LateCold, "late: resumed by reading the prompt again" },
-    { AttemptEnd::LateAnswer, "late: answer" },
-    { AttemptEnd::ServiceError, "the service's own error" },
+    { AttemptEnd::LateFromCopy, "late: resumed from a KV-cache copy" },
+    { AttemptEnd::LateCold, "late: resumed with a new prefill" },
+    { AttemptEnd::LateAnswer, "late: response" },
+    { AttemptEnd::ServiceError, "error response of the service" },
     { AttemptEnd::Refused, "refused" },
     { AttemptEnd::Failed, "failed" },
-    { AttemptEnd::CallerLeftEarly, "the caller left before its answer began" },
-    { AttemptEnd::CallerLeftLate, "the caller left in the middle" },
-    { AttemptEnd::VmEnded, "its VM ended" },
+    { AttemptEnd::CallerLeftEarly, "the caller disconnected before the response began" },
+    { AttemptEnd::CallerLeftLate, "the caller disconnected during the response" },
+    { AttemptEnd::VmEnded, "its VM crashed or stopped" },
 } };
 
 class LossReport {
@@ -57,13 +57,14 @@
     LossReport(const LossReport&) = delete;
     LossReport& operator=(const LossReport&) = delete;
 
-    // Takes the events of one VM's log.
+    // Adds the events of one VM's log.
     void read(std::istream&);
-    // Writes a table of the attempts by cause, and of the work that was lost. Returns how many attempts there were.
+    // Writes a table of the attempts by how they ended, then the lost runs, refusals, waits and calls to the store.
+    // Returns the number of attempts.
     std::size_t write(std::ostream&) const;
-    // How many attempts ended so; for tests and other reports.
+    // Returns the number of attempts, either returned ones or others, that ended in this way.
     std::size_t count(AttemptEnd end, bool hasReturned = false) const;
-    // By "REASON in ZONE", by "waits for WHAT" and by "PURPOSE TABLE".
+    // Counts by "REASON in ZONE", by what was waited for, and by "PURPOSE TABLE".
     const std::map<std::string, std::size_t>& refusals() const { return m_refusals; }
     const std::map<std::string, std::size_t>& waits() const { return m_waits; }
     const std::map<std::string, std::size_t>& storeCalls() const { return m_storeCalls; }
@@ -76,17 +77,17 @@
     static void takeDone(Attempt&, const nlohmann::json& event);
     static AttemptEnd endOf(const Attempt&);
 
-    // What concerns the VM itself, and requests that were never admitted.
+    // Adds events of the VM itself, and refusals and waits, also of requests that were never admitted.
     void takeVmEvent(const std::string& name, const nlohmann::json& event);
     static void writeCounts(std::ostream&, const std::map<std::string, std::size_t>&, std::string_view what);
 
     std::map<std::string, Attempt> m_attempts;
     std::map<std::string, std::string> m_zonesOfVms;
-    // Refusals by reason and zone, waits by what was lacking, calls to the platform's store by purpose.
+    // See the accessors for the keys.
     std::map<std::string, std::size_t> m_refusals;
     std::map<std::string, std::size_t> m_waits;
     std::map<std::string, std::size_t> m_storeCalls;
-    // Runs that were lost, by failure, and the tokens that had to be read again.
+    // Lost runs by failure, and the prompt tokens that were prefilled again to resume streams.
     std::map<std::string, std::size_t> m_lostRuns;
     std::size_t m_coldResumptions { 0 };
     std::uint64_t m_tokensReadAgain { 0 };
--- a/src/ctl/RequestTrace.cpp
+++ b/src/ctl/RequestTrace.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Events that change what a VM believes, by what they are about: of each, the newest one holds.
+// Events that change the state of a VM, and the subject of each. The newest event of a subject is the current state.
 constexpr std::array<std::pair<std::string_view, std::string_view>, 6> beliefEvents { {
     { "process.started", "process" },
     { "config.applied", "configuration" },
@@ -82,7 +82,7 @@
     for (const auto* line : own) {
         if (seenVms.insert(line->vm).second) {
             for (const auto* belief : beliefsBefore(line->vm, line->time))
-                out << "  believed, " << line->time - belief->time << " ms old: " << belief->text << "\n";
+                out << "  VM state, " << line->time - belief->time << " ms old: " << belief->text << "\n";
         }
         out << "+" << line->time - own.front()->time << " ms " << line->text << "\n";
     }
--- a/src/ctl/RequestTrace.h
+++ b/src/ctl/RequestTrace.h
@@ -1,11 +1,11 @@
-// Puts the log lines of one request from several VMs in order, with what each VM believed then.
+// Prints the log lines of one request from several VMs in order of time, with the state that each VM had then.
 //
 //     RequestTrace trace("9c41");
 //     trace.read(file1);
 //     trace.read(file2);
 //     trace.write(std::cout);
 //
-// Lines of an attempt that the caller made again are included where a VM found out that they belong together.
+// Lines of a caller's later attempt are included if they name this request as the earlier one.
 // Not thread-safe.
 #pragma once
 
@@ -22,9 +22,10 @@
 public:
     explicit RequestTrace(std::string requestId);
 
-    // Takes the lines of one log; lines that are not events of the log are passed over.
+    // Adds the events of one log; other lines are skipped.
     void read(std::istream&);
-    // Writes one line an event, by time. Returns how many lines of the request there were.
+    // Writes one line per event, sorted by time; the first event of each VM follows the VM's state. Returns the number
+    // of the request's events.
     std::size_t write(std::ostream&) const;
 
 private:
@@ -33,13 +34,13 @@
         std::string vm;
         std::string event;
         std::string request;
-        // The attempt that a caller made before, on lines that tell of it.
+        // The caller's earlier attempt; empty if the event names none.
         std::string earlierRequest;
         std::string text;
     };
 
     bool isOfRequest(const Line&) const;
-    // The newest line of each belief that a VM held before an instant.
+    // Returns the newest state event of a VM for each subject, up to `time` in milliseconds.
     std::vector<const Line*> beliefsBefore(const std::string& vm, std::int64_t time) const;
 
     const std::string m_requestId;
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,4 +1,4 @@
-// lupinknotctl: the operators' tool.
+// lupinknotctl: the command-line tool for operators.
 
 #include "common/Version.h"
 #include "ctl/LossReport.h"
@@ -29,7 +29,8 @@
     bool isJson { false };
 };
 
-// Asks one daemon; nothing, with the reason on standard error, when it gives no good answer.
+// Sends a request to one daemon and returns the JSON object of its response. On failure, prints the reason to standard
+// error and returns nothing.
 std::optional<json> ask(const SocketAddress& daemon, const std::string& method, const std::string& target)
 {
     const auto result = fetch(daemon, { method, target, {}, {} }, callTimeout);
@@ -75,12 +76,12 @@
         const auto answer = ask(daemon, "POST", "/v1/drain");
         isGood = isGood && answer;
         if (answer)
-            std::cout << answer->value("vm", "") << " drains\n";
+            std::cout << answer->value("vm", "") << " is draining\n";
     }
     return isGood ? exitOk : exitFailed;
 }
 
-// Asks each daemon until one holds the generation.
+// Prints the state of a generation, from the first daemon that has it.
 int explain(const Options& options)
 {
     for (const auto& daemon : options.daemons) {
@@ -97,13 +98,13 @@
     int (*run)(const Options&);
 };
 
-// Has a report read all logs; false, with the reason on standard error, when one cannot be read.
+// Reads all logs into a report. If a file cannot be opened, prints the error to standard error and returns false.
 template <typename Report> bool readFiles(const Options& options, Report& report)
 {
     for (const auto& path : options.files) {
         std::ifstream file(path);
         if (!file) {
-            std::cerr << "lupinknotctl: cannot read " << path << "\n";
+            std::cerr << "lupinknotctl: cannot open the log " << path << "\n";
             return false;
         }
         report.read(file);
@@ -111,7 +112,7 @@
     return true;
 }
 
-// Prints what the logs say of one request.
+// Prints the events of one request in the logs.
 int trace(const Options& options)
 {
     RequestTrace found(options.argument);
@@ -121,11 +122,11 @@
     std::cout.flush();
     if (lines > 0)
         return exitOk;
-    std::cerr << "lupinknotctl: no line of these logs is of request " << options.argument << "\n";
+    std::cerr << "lupinknotctl: the logs have no event of request " << options.argument << "\n";
     return exitFailed;
 }
 
-// Prints by cause how requests ended late or not at all.
+// Prints how many requests were late, failed or were refused, by cause.
 int losses(const Options& options)
 {
     LossReport report;
@@ -135,7 +136,7 @@
     std::cout.flush();
     if (attempts > 0)
         return exitOk;
-    std::cerr << "lupinknotctl: these logs tell of no request\n";
+    std::cerr << "lupinknotctl: the logs have no admitted request\n";
     return exitFailed;
 }
 
@@ -149,20 +150,19 @@
 
 Options parseOptions(int argc, char** argv)
 {
-    TCLAP::CmdLine line(
-        "The operators' tool of lupinknot. Commands: status, drain, explain GENERATION (each with --admin), "
-        "trace REQUEST FILE..., losses FILE...",
+    TCLAP::CmdLine line("Command-line tool for operators of lupinknot. Commands: status, drain, explain GENERATION "
+                        "(each with --admin), trace REQUEST FILE..., losses FILE...",
         ' ', std::string(version));
     std::vector<std::string> names;
     names.reserve(commands.size());
     for (const auto& command : commands)
         names.emplace_back(command.name);
     TCLAP::ValuesConstraint<std::string> isCommand(names);
-    TCLAP::UnlabeledValueArg<std::string> command("command", "What to do.", true, "", &isCommand, line);
-    TCLAP::MultiArg<std::string> admins("a", "admin", "Address of a daemon for operators.", false, "address", line);
+    TCLAP::UnlabeledValueArg<std::string> command("command", "The command to run.", true, "", &isCommand, line);
+    TCLAP::MultiArg<std::string> admins("a", "admin", "Admin address of a daemon, as IP:PORT.", false, "address", line);
     TCLAP::SwitchArg isJson("", "json", "Print JSON.", line);
     TCLAP::UnlabeledMultiArg<std::string> arguments(
-        "arguments", "A generation; or a request and the logs of the VMs.", false, "argument", line);
+        "arguments", "A generation ID; a request ID and log files; or log files.", false, "argument", line);
     line.parse(argc, argv);
 
     Options options { command.getValue(), "", {}, arguments.getValue(), isJson.getValue() };
@@ -174,13 +174,13 @@
     for (const auto& text : admins.getValue()) {
         const auto address = parseSocketAddress(text);
         if (!address)
-            throw TCLAP::ArgException("expected an IP number and a port, as in 127.0.0.1:9080; found " + text);
+            throw TCLAP::ArgException("expected an IP address and a port, as in 127.0.0.1:9080; found " + text);
         options.daemons.push_back(*address);
     }
     const bool needsFiles = namesFilesOnly || options.command == "trace";
     if (needsFiles ? options.files.empty() : options.daemons.empty())
-        throw TCLAP::ArgException(
-            needsFiles ? options.command + " needs the logs to read" : "the command needs --admin ADDRESS");
+        throw TCLAP::ArgException(needsFiles ? options.command + " needs at least one log file"
+                                             : "the command needs at least one --admin ADDRESS");
     return options;
 }
 
--- a/test/LossReportTest.cpp
+++ b/test/LossReportTest.cpp
@@ -22,7 +22,7 @@
             + fields + "}\n";
     }
 
-    // A request with an objective of 4500 ms and pauses of 700 ms.
+    // Reads an admitted request with an objective of 4500 ms and a longest pause of 700 ms, then these lines.
     void readAttempt(const std::string& lines)
     {
         read(line("request.admitted", R"("objective_ms":4500,"longest_pause_ms":700,"prompt_tokens":5000)") + lines);
@@ -62,7 +62,7 @@
     std::ostringstream out;
     LONGS_EQUAL(1, report.write(out));
     STRCMP_CONTAINS("1  runs lost: silent\n", out.str().c_str());
-    STRCMP_CONTAINS("1  runs that went on by reading the prompt again, 5000 tokens\n", out.str().c_str());
+    STRCMP_CONTAINS("1  runs resumed with a new prefill, 5000 tokens\n", out.str().c_str());
 }
 
 TEST(LossReport, ALateFirstEventIsACauseOfItsOwn)
@@ -132,5 +132,5 @@
          R"({"event":"request.waits-for-place","vm":"v1","request":"r1","reason":"endpoints-busy"})"
          "\n");
     LONGS_EQUAL(1, report.storeCalls().at("changes servers"));
-    LONGS_EQUAL(1, report.waits().at("a place, after endpoints-busy"));
+    LONGS_EQUAL(1, report.waits().at("capacity, after endpoints-busy"));
 }
--- a/test/RequestTraceTest.cpp
+++ b/test/RequestTraceTest.cpp
@@ -44,7 +44,7 @@
 {"time_ms":110,"vm":"a","event":"config.applied","config_version":9}
 )");
     STRCMP_EQUAL(
-        "  believed, 50 ms old: {\"time_ms\":50,\"vm\":\"a\",\"event\":\"config.applied\",\"config_version\":7}\n"
+        "  VM state, 50 ms old: {\"time_ms\":50,\"vm\":\"a\",\"event\":\"config.applied\",\"config_version\":7}\n"
         "+0 ms {\"time_ms\":100,\"vm\":\"a\",\"event\":\"request.refused\",\"request\":\"r1\"}\n",
         written(1).c_str());
 }
