--- a/src/ctl/LogReader.cpp
+++ b/src/ctl/LogReader.cpp
@@ -4,7 +4,7 @@
 
 namespace lupinknot::internal {
 
-void readLog(std::istream& log, const std::function<void(const nlohmann::json&, const std::string&)>& take)
+void readLog(std::istream& log, const std::function<void(const nlohmann::json&, const std::string&)>& onEvent)
 {
     std::string text;
     while (std::getline(log, text)) {
@@ -14,7 +14,7 @@
         text.erase(0, start);
         const auto object = nlohmann::json::parse(text, nullptr, false);
         if (object.is_object() && object.contains("event") && object["event"].is_string())
-            take(object, text);
+            onEvent(object, text);
     }
 }
 
--- a/src/ctl/LossReport.cpp
+++ b/src/ctl/LossReport.cpp
@@ -19,7 +19,7 @@
     return found != event.end() && found->is_number() ? found->get<std::int64_t>() : 0;
 }
 
-std::string textIn(const nlohmann::json& event, const char* name)
+std::string stringIn(const nlohmann::json& event, const char* name)
 {
     const auto found = event.find(name);
     return found != event.end() && found->is_string() ? found->get<std::string>() : std::string();
@@ -32,10 +32,10 @@
 }
 
 // Whether a response with this status guarantees that the request has not run.
-bool isPromise(std::int64_t status)
+bool guaranteesNotRun(std::int64_t status)
 {
-    constexpr std::array<std::int64_t, 4> promises { 408, 421, 429, 503 };
-    return std::count(promises.begin(), promises.end(), status) > 0;
+    constexpr std::array<std::int64_t, 4> statusesOfRequestsNotRun { 408, 421, 429, 503 };
+    return std::count(statusesOfRequestsNotRun.begin(), statusesOfRequestsNotRun.end(), status) > 0;
 }
 
 } // namespace
@@ -48,16 +48,16 @@
     bool isStream { false };
     bool hasReturned { false };
     bool hasFirstEvent { false };
-    bool isRunCold { false };
+    bool isRunFromPrefill { false };
     std::int64_t firstEventAfter { 0 };
     std::int64_t longestResumption { 0 };
-    bool wasLongestCold { false };
-    bool hasLeft { false };
+    bool wasLongestFromPrefill { false };
+    bool hasCallerLeft { false };
     // Set by the event that ends the attempt.
     bool isDone { false };
     std::string outcome;
     std::int64_t status { 0 };
-    std::int64_t took { 0 };
+    std::int64_t duration { 0 };
 };
 
 LossReport::LossReport() = default;
@@ -66,14 +66,14 @@
 
 void LossReport::read(std::istream& log)
 {
-    readLog(log, [this](const nlohmann::json& event, const std::string&) { take(event); });
+    readLog(log, [this](const nlohmann::json& event, const std::string&) { addEvent(event); });
 }
 
-void LossReport::take(const nlohmann::json& event)
+void LossReport::addEvent(const nlohmann::json& event)
 {
     const auto name = event["event"].get<std::string>();
-    takeVmEvent(name, event);
-    const auto request = textIn(event, "request");
+    addVmEvent(name, event);
+    const auto request = stringIn(event, "request");
     if (request.empty())
         return;
     if (name == "request.admitted") {
@@ -88,85 +88,87 @@
         return;
     auto& attempt = known->second;
     if (name == "stream.done" || name == "request.done" || name == "request.refused")
-        takeDone(attempt, event);
+        addCompletion(attempt, event);
     else if (name == "request.caller-gone")
-        attempt.hasLeft = true;
+        attempt.hasCallerLeft = true;
     else if (name.rfind("stream.", 0) == 0)
-        takeStreamEvent(attempt, name, event);
+        addStreamEvent(attempt, name, event);
 }
 
-void LossReport::takeVmEvent(const std::string& name, const nlohmann::json& event)
+void LossReport::addVmEvent(const std::string& name, const nlohmann::json& event)
 {
     if (name == "process.started") {
-        m_zonesOfVms[textIn(event, "vm")] = textIn(event, "zone");
+        m_zoneByVm[stringIn(event, "vm")] = stringIn(event, "zone");
     } else if (name == "store.called") {
-        ++m_storeCalls[textIn(event, "purpose") + " " + textIn(event, "table")];
+        ++m_storeCalls[stringIn(event, "purpose") + " " + stringIn(event, "table")];
     } else if (name == "request.waits-for-news") {
         ++m_waits["configuration or endpoints after the start of the VM"];
     } else if (name == "request.waits-for-place") {
-        ++m_waits["capacity, after " + textIn(event, "reason")];
-    } else if (name == "request.refused" || (name == "stream.done" && isPromise(numberIn(event, "status")))) {
-        const auto zone = m_zonesOfVms.find(textIn(event, "vm"));
-        const auto reason = textIn(event, name == "request.refused" ? "reason" : "outcome");
-        ++m_refusals[reason + " in " + (zone == m_zonesOfVms.end() ? "an unknown zone" : zone->second)];
+        ++m_waits["capacity, after " + stringIn(event, "reason")];
+    } else if (name == "request.refused" || (name == "stream.done" && guaranteesNotRun(numberIn(event, "status")))) {
+        const auto zone = m_zoneByVm.find(stringIn(event, "vm"));
+        const auto reason = stringIn(event, name == "request.refused" ? "reason" : "outcome");
+        ++m_refusals[reason + " in " + (zone == m_zoneByVm.end() ? "an unknown zone" : zone->second)];
     }
 }
 
-void LossReport::takeStreamEvent(Attempt& attempt, const std::string& name, const nlohmann::json& event)
+void LossReport::addStreamEvent(Attempt& attempt, const std::string& name, const nlohmann::json& event)
 {
     attempt.isStream = true;
     if (name == "stream.returned") {
         attempt.hasReturned = true;
     } else if (name == "stream.sent") {
-        attempt.isRunCold = !flagIn(event, "from_copy");
-        if (attempt.isRunCold && numberIn(event, "after_event") > 0) {
-            ++m_coldResumptions;
-            m_tokensReadAgain += static_cast<std::uint64_t>(std::max<std::int64_t>(attempt.promptTokens, 0));
+        attempt.isRunFromPrefill = !flagIn(event, "from_copy");
+        if (attempt.isRunFromPrefill && numberIn(event, "after_event") > 0) {
+            ++m_prefillResumptions;
+            m_tokensPrefilledAgain += static_cast<std::uint64_t>(std::max<std::int64_t>(attempt.promptTokens, 0));
         }
     } else if (name == "stream.first-event") {
         attempt.hasFirstEvent = true;
         attempt.firstEventAfter = numberIn(event, "since_admitted_ms");
     } else if (name == "stream.run-lost") {
-        ++m_lostRuns[textIn(event, "failure") + (attempt.hasFirstEvent ? "" : ", before the first event")];
+        ++m_lostRuns[stringIn(event, "failure") + (attempt.hasFirstEvent ? "" : ", before the first event")];
     } else if (name == "stream.resumed" && numberIn(event, "pause_ms") > attempt.longestResumption) {
         attempt.longestResumption = numberIn(event, "pause_ms");
-        attempt.wasLongestCold = !flagIn(event, "from_copy");
+        attempt.wasLongestFromPrefill = !flagIn(event, "from_copy");
     }
 }
 
-void LossReport::takeDone(Attempt& attempt, const nlohmann::json& event)
+void LossReport::addCompletion(Attempt& attempt, const nlohmann::json& event)
 {
     attempt.isDone = true;
-    attempt.outcome = textIn(event, textIn(event, "outcome").empty() ? "reason" : "outcome");
+    attempt.outcome = stringIn(event, stringIn(event, "outcome").empty() ? "reason" : "outcome");
     attempt.status = numberIn(event, "status");
-    attempt.took = numberIn(event, "took_ms");
+    attempt.duration = numberIn(event, "took_ms");
 }
 
-AttemptEnd LossReport::endOf(const Attempt& attempt)
+AttemptOutcome LossReport::outcomeOf(const Attempt& attempt)
 {
     if (!attempt.isDone) {
-        if (!attempt.hasLeft)
-            return AttemptEnd::VmEnded;
-        return attempt.hasFirstEvent ? AttemptEnd::CallerLeftLate : AttemptEnd::CallerLeftEarly;
+        if (!attempt.hasCallerLeft)
+            return AttemptOutcome::VmLost;
+        return attempt.hasFirstEvent ? AttemptOutcome::CallerLeftDuringResponse
+                                     : AttemptOutcome::CallerLeftBeforeResponse;
     }
     if (attempt.outcome == "endpoint-status" && attempt.status >= firstServerError)
-        return AttemptEnd::ServiceError;
+        return AttemptOutcome::ServiceError;
     const bool isServed
         = attempt.outcome == "complete" || attempt.outcome == "answered" || attempt.outcome == "endpoint-status";
     if (!isServed)
-        return isPromise(attempt.status) ? AttemptEnd::Refused : AttemptEnd::Failed;
+        return guaranteesNotRun(attempt.status) ? AttemptOutcome::Refused : AttemptOutcome::Failed;
     if (!attempt.isStream)
-        return attempt.objective > 0 && attempt.took > attempt.objective ? AttemptEnd::LateAnswer : AttemptEnd::InTime;
+        return attempt.objective > 0 && attempt.duration > attempt.objective ? AttemptOutcome::LateResponse
+                                                                             : AttemptOutcome::InTime;
     if (attempt.longestPause > 0 && attempt.longestResumption > attempt.longestPause)
-        return attempt.wasLongestCold ? AttemptEnd::LateCold : AttemptEnd::LateFromCopy;
+        return attempt.wasLongestFromPrefill ? AttemptOutcome::LateFromPrefill : AttemptOutcome::LateFromCopy;
     const bool isLate = attempt.objective > 0 && attempt.firstEventAfter > attempt.objective;
-    return isLate ? AttemptEnd::LateFirstEvent : AttemptEnd::InTime;
+    return isLate ? AttemptOutcome::LateFirstEvent : AttemptOutcome::InTime;
 }
 
-std::size_t LossReport::count(AttemptEnd end, bool hasReturned) const
+std::size_t LossReport::count(AttemptOutcome end, bool hasReturned) const
 {
     return static_cast<std::size_t>(std::count_if(m_attempts.begin(), m_attempts.end(),
-        [&](const auto& entry) { return entry.second.hasReturned == hasReturned && endOf(entry.second) == end; }));
+        [&](const auto& entry) { return entry.second.hasReturned == hasReturned && outcomeOf(entry.second) == end; }));
 }
 
 void LossReport::writeCounts(std::ostream& out, const std::map<std::string, std::size_t>& counts, std::string_view what)
@@ -182,23 +184,23 @@
         std::size_t streams { 0 };
         std::size_t returned { 0 };
     };
-    std::array<Row, attemptEndNames.size()> rows;
+    std::array<Row, attemptOutcomeNames.size()> rows;
     for (const auto& entry : m_attempts) {
         const auto& attempt = entry.second;
-        auto& row = rows[static_cast<std::size_t>(endOf(attempt))];
+        auto& row = rows[static_cast<std::size_t>(outcomeOf(attempt))];
         ++(attempt.hasReturned ? row.returned : attempt.isStream ? row.streams : row.calls);
     }
     constexpr int width = columnWidth;
     out << std::setw(width) << "calls" << std::setw(width) << "streams" << std::setw(width) << "returned"
         << "  ended\n";
-    for (const auto& name : attemptEndNames) {
+    for (const auto& name : attemptOutcomeNames) {
         const auto& row = rows[static_cast<std::size_t>(name.value)];
         out << std::setw(width) << row.calls << std::setw(width) << row.streams << std::setw(width) << row.returned
             << "  " << name.name << "\n";
     }
     for (const auto& [failure, number] : m_lostRuns)
         out << std::setw(width) << number << "  runs lost: " << failure << "\n";
-    out << std::setw(width) << m_coldResumptions << "  runs resumed with a new prefill, " << m_tokensReadAgain
+    out << std::setw(width) << m_prefillResumptions << "  runs resumed with a new prefill, " << m_tokensPrefilledAgain
         << " tokens\n";
     writeCounts(out, m_refusals, "refused: ");
     writeCounts(out, m_waits, "waits for ");
--- a/src/ctl/LossReport.h
+++ b/src/ctl/LossReport.h
@@ -22,32 +22,32 @@
 namespace lupinknot::internal {
 
 // How an attempt of a caller ended.
-enum class AttemptEnd {
+enum class AttemptOutcome {
     InTime,
     LateFirstEvent, // The first event came later than the route's objective.
     LateFromCopy, // The longest pause exceeded the limit; the stream resumed from a KV-cache copy.
-    LateCold, // The longest pause exceeded the limit; the stream resumed with a new prefill.
-    LateAnswer, // A plain call took longer than the route's objective.
+    LateFromPrefill, // The longest pause exceeded the limit; the stream resumed with a new prefill.
+    LateResponse, // A plain call took longer than the route's objective.
     ServiceError, // The service responded with a status of 500 or more.
     Refused, // The VM rejected the request before it ran.
     Failed, // The VM ended the request after it may have run.
-    CallerLeftEarly, // The caller disconnected before the first event or the response.
-    CallerLeftLate, // The caller disconnected during its stream.
-    VmEnded, // The log has no end of the attempt: its VM crashed or stopped first.
+    CallerLeftBeforeResponse, // The caller disconnected before the first event or the response.
+    CallerLeftDuringResponse, // The caller disconnected during its stream.
+    VmLost, // The log has no end of the attempt: its VM crashed or stopped first.
 };
 
-inline constexpr std::array<EnumName<AttemptEnd>, 11> attemptEndNames { {
-    { AttemptEnd::InTime, "in time" },
-    { AttemptEnd::LateFirstEvent, "late: first event" },
-    { AttemptEnd::LateFromCopy, "late: resumed from a KV-cache copy" },
-    { AttemptEnd::LateCold, "late: resumed with a new prefill" },
-    { AttemptEnd::LateAnswer, "late: response" },
-    { AttemptEnd::ServiceError, "error response of the service" },
-    { AttemptEnd::Refused, "refused" },
-    { AttemptEnd::Failed, "failed" },
-    { AttemptEnd::CallerLeftEarly, "the caller disconnected before the response began" },
-    { AttemptEnd::CallerLeftLate, "the caller disconnected during the response" },
-    { AttemptEnd::VmEnded, "its VM crashed or stopped" },
+inline constexpr std::array<EnumName<AttemptOutcome>, 11> attemptOutcomeNames { {
+    { AttemptOutcome::InTime, "in time" },
+    { AttemptOutcome::LateFirstEvent, "late: first event" },
+    { AttemptOutcome::LateFromCopy, "late: resumed from a KV-cache copy" },
+    { AttemptOutcome::LateFromPrefill, "late: resumed with a new prefill" },
+    { AttemptOutcome::LateResponse, "late: response" },
+    { AttemptOutcome::ServiceError, "error response of the service" },
+    { AttemptOutcome::Refused, "refused" },
+    { AttemptOutcome::Failed, "failed" },
+    { AttemptOutcome::CallerLeftBeforeResponse, "the caller disconnected before the response began" },
+    { AttemptOutcome::CallerLeftDuringResponse, "the caller disconnected during the response" },
+    { AttemptOutcome::VmLost, "its VM crashed or stopped" },
 } };
 
 class LossReport {
@@ -63,7 +63,7 @@
     // Returns the number of attempts.
     std::size_t write(std::ostream&) const;
     // Returns the number of attempts, either returned ones or others, that ended in this way.
-    std::size_t count(AttemptEnd end, bool hasReturned = false) const;
+    std::size_t count(AttemptOutcome end, bool hasReturned = false) const;
     // Counts by "REASON in ZONE", by what was waited for, and by "PURPOSE TABLE".
     const std::map<std::string, std::size_t>& refusals() const { return m_refusals; }
     const std::map<std::string, std::size_t>& waits() const { return m_waits; }
@@ -72,25 +72,25 @@
 private:
     struct Attempt;
 
-    void take(const nlohmann::json& event);
-    void takeStreamEvent(Attempt&, const std::string& name, const nlohmann::json& event);
-    static void takeDone(Attempt&, const nlohmann::json& event);
-    static AttemptEnd endOf(const Attempt&);
+    void addEvent(const nlohmann::json& event);
+    void addStreamEvent(Attempt&, const std::string& name, const nlohmann::json& event);
+    static void addCompletion(Attempt&, const nlohmann::json& event);
+    static AttemptOutcome outcomeOf(const Attempt&);
 
     // Adds events of the VM itself, and refusals and waits, also of requests that were never admitted.
-    void takeVmEvent(const std::string& name, const nlohmann::json& event);
+    void addVmEvent(const std::string& name, const nlohmann::json& event);
     static void writeCounts(std::ostream&, const std::map<std::string, std::size_t>&, std::string_view what);
 
     std::map<std::string, Attempt> m_attempts;
-    std::map<std::string, std::string> m_zonesOfVms;
+    std::map<std::string, std::string> m_zoneByVm;
     // See the accessors for the keys.
     std::map<std::string, std::size_t> m_refusals;
     std::map<std::string, std::size_t> m_waits;
     std::map<std::string, std::size_t> m_storeCalls;
     // Lost runs by failure, and the prompt tokens that were prefilled again to resume streams.
     std::map<std::string, std::size_t> m_lostRuns;
-    std::size_t m_coldResumptions { 0 };
-    std::uint64_t m_tokensReadAgain { 0 };
+    std::size_t m_prefillResumptions { 0 };
+    std::uint64_t m_tokensPrefilledAgain { 0 };
 };
 
 } // namespace lupinknot::internal
--- a/src/ctl/RequestTrace.cpp
+++ b/src/ctl/RequestTrace.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Events that change the state of a VM, and the subject of each. The newest event of a subject is the current state.
-constexpr std::array<std::pair<std::string_view, std::string_view>, 6> beliefEvents { {
+constexpr std::array<std::pair<std::string_view, std::string_view>, 6> stateEvents { {
     { "process.started", "process" },
     { "config.applied", "configuration" },
     { "store.lost", "store" },
@@ -21,11 +21,11 @@
     { "zone.avoided", "zone" },
 } };
 
-std::string_view beliefOf(const std::string& event)
+std::string_view stateSubjectOf(const std::string& event)
 {
-    for (const auto& [name, belief] : beliefEvents) {
+    for (const auto& [name, subject] : stateEvents) {
         if (name == event)
-            return belief;
+            return subject;
     }
     return "";
 }
@@ -51,42 +51,43 @@
     return line.request == m_requestId || line.earlierRequest == m_requestId;
 }
 
-std::vector<const RequestTrace::Line*> RequestTrace::beliefsBefore(const std::string& vm, std::int64_t time) const
+std::vector<const RequestTrace::Line*> RequestTrace::stateBefore(const std::string& vm, std::int64_t time) const
 {
     std::map<std::string_view, const Line*> newest;
     for (const auto& line : m_lines) {
-        const auto belief = beliefOf(line.event);
-        if (belief.empty() || line.vm != vm || line.time > time)
+        const auto subject = stateSubjectOf(line.event);
+        if (subject.empty() || line.vm != vm || line.time > time)
             continue;
-        auto& held = newest[belief];
-        if (!held || held->time <= line.time)
-            held = &line;
+        auto& newestLine = newest[subject];
+        if (!newestLine || newestLine->time <= line.time)
+            newestLine = &line;
     }
-    std::vector<const Line*> beliefs;
-    beliefs.reserve(newest.size());
+    std::vector<const Line*> stateLines;
+    stateLines.reserve(newest.size());
     for (const auto& entry : newest)
-        beliefs.push_back(entry.second);
-    std::sort(beliefs.begin(), beliefs.end(), [](const Line* a, const Line* b) { return a->time < b->time; });
-    return beliefs;
+        stateLines.push_back(entry.second);
+    std::sort(stateLines.begin(), stateLines.end(), [](const Line* a, const Line* b) { return a->time < b->time; });
+    return stateLines;
 }
 
 std::size_t RequestTrace::write(std::ostream& out) const
 {
-    std::vector<const Line*> own;
+    std::vector<const Line*> requestLines;
     for (const auto& line : m_lines) {
         if (isOfRequest(line))
-            own.push_back(&line);
+            requestLines.push_back(&line);
     }
-    std::stable_sort(own.begin(), own.end(), [](const Line* a, const Line* b) { return a->time < b->time; });
+    std::stable_sort(
+        requestLines.begin(), requestLines.end(), [](const Line* a, const Line* b) { return a->time < b->time; });
     std::set<std::string> seenVms;
-    for (const auto* line : own) {
+    for (const auto* line : requestLines) {
         if (seenVms.insert(line->vm).second) {
-            for (const auto* belief : beliefsBefore(line->vm, line->time))
-                out << "  VM state, " << line->time - belief->time << " ms old: " << belief->text << "\n";
+            for (const auto* stateLine : stateBefore(line->vm, line->time))
+                out << "  VM state, " << line->time - stateLine->time << " ms old: " << stateLine->text << "\n";
         }
-        out << "+" << line->time - own.front()->time << " ms " << line->text << "\n";
+        out << "+" << line->time - requestLines.front()->time << " ms " << line->text << "\n";
     }
-    return own.size();
+    return requestLines.size();
 }
 
 } // namespace lupinknot::internal
--- a/src/ctl/RequestTrace.h
+++ b/src/ctl/RequestTrace.h
@@ -41,7 +41,7 @@
 
     bool isOfRequest(const Line&) const;
     // Returns the newest state event of a VM for each subject, up to `time` in milliseconds.
-    std::vector<const Line*> beliefsBefore(const std::string& vm, std::int64_t time) const;
+    std::vector<const Line*> stateBefore(const std::string& vm, std::int64_t time) const;
 
     const std::string m_requestId;
     std::vector<Line> m_lines;
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,4 +1,4 @@
-// lupinknotctl: the command-line tool for operators.
+// lupinknotctl: the command-commandLine tool for operators.
 
 #include "common/Version.h"
 #include "ctl/LossReport.h"
@@ -31,7 +31,7 @@
 
 // Sends a request to one daemon and returns the JSON object of its response. On failure, prints the reason to standard
 // error and returns nothing.
-std::optional<json> ask(const SocketAddress& daemon, const std::string& method, const std::string& target)
+std::optional<json> fetchJson(const SocketAddress& daemon, const std::string& method, const std::string& target)
 {
     const auto result = fetch(daemon, { method, target, {}, {} }, callTimeout);
     const auto body = json::parse(result.response.body, nullptr, false);
@@ -57,35 +57,35 @@
 
 int showStatus(const Options& options)
 {
-    bool isGood = true;
+    bool allSucceeded = true;
     for (const auto& daemon : options.daemons) {
-        const auto status = ask(daemon, "GET", "/v1/status");
-        isGood = isGood && status;
+        const auto status = fetchJson(daemon, "GET", "/v1/status");
+        allSucceeded = allSucceeded && status;
         if (status && options.isJson)
             std::cout << status->dump() << "\n";
         else if (status)
             printStatus(*status);
     }
-    return isGood ? exitOk : exitFailed;
+    return allSucceeded ? exitOk : exitFailed;
 }
 
 int drain(const Options& options)
 {
-    bool isGood = true;
+    bool allSucceeded = true;
     for (const auto& daemon : options.daemons) {
-        const auto answer = ask(daemon, "POST", "/v1/drain");
-        isGood = isGood && answer;
+        const auto answer = fetchJson(daemon, "POST", "/v1/drain");
+        allSucceeded = allSucceeded && answer;
         if (answer)
             std::cout << answer->value("vm", "") << " is draining\n";
     }
-    return isGood ? exitOk : exitFailed;
+    return allSucceeded ? exitOk : exitFailed;
 }
 
 // Prints the state of a generation, from the first daemon that has it.
 int explain(const Options& options)
 {
     for (const auto& daemon : options.daemons) {
-        if (const auto described = ask(daemon, "GET", "/v1/generations/" + options.argument)) {
+        if (const auto described = fetchJson(daemon, "GET", "/v1/generations/" + options.argument)) {
             std::cout << described->dump(2) << "\n";
             return exitOk;
         }
@@ -115,10 +115,10 @@
 // Prints the events of one request in the logs.
 int trace(const Options& options)
 {
-    RequestTrace found(options.argument);
-    if (!readFiles(options, found))
+    RequestTrace requestTrace(options.argument);
+    if (!readFiles(options, requestTrace))
         return exitFailed;
-    const auto lines = found.write(std::cout);
+    const auto lines = requestTrace.write(std::cout);
     std::cout.flush();
     if (lines > 0)
         return exitOk;
@@ -150,24 +150,26 @@
 
 Options parseOptions(int argc, char** argv)
 {
-    TCLAP::CmdLine line("Command-line tool for operators of lupinknot. Commands: status, drain, explain GENERATION "
-                        "(each with --admin), trace REQUEST FILE..., losses FILE...",
+    TCLAP::CmdLine commandLine(
+        "Command-line tool for operators of lupinknot. Commands: status, drain, explain GENERATION "
+        "(each with --admin), trace REQUEST FILE..., losses FILE...",
         ' ', std::string(version));
     std::vector<std::string> names;
     names.reserve(commands.size());
     for (const auto& command : commands)
         names.emplace_back(command.name);
     TCLAP::ValuesConstraint<std::string> isCommand(names);
-    TCLAP::UnlabeledValueArg<std::string> command("command", "The command to run.", true, "", &isCommand, line);
-    TCLAP::MultiArg<std::string> admins("a", "admin", "Admin address of a daemon, as IP:PORT.", false, "address", line);
-    TCLAP::SwitchArg isJson("", "json", "Print JSON.", line);
+    TCLAP::UnlabeledValueArg<std::string> command("command", "The command to run.", true, "", &isCommand, commandLine);
+    TCLAP::MultiArg<std::string> admins(
+        "a", "admin", "Admin address of a daemon, as IP:PORT.", false, "address", commandLine);
+    TCLAP::SwitchArg isJson("", "json", "Print JSON.", commandLine);
     TCLAP::UnlabeledMultiArg<std::string> arguments(
-        "arguments", "A generation ID; a request ID and log files; or log files.", false, "argument", line);
-    line.parse(argc, argv);
+        "arguments", "A generation ID; a request ID and log files; or log files.", false, "argument", commandLine);
+    commandLine.parse(argc, argv);
 
     Options options { command.getValue(), "", {}, arguments.getValue(), isJson.getValue() };
-    const bool namesFilesOnly = options.command == "losses";
-    if (!options.files.empty() && !namesFilesOnly) {
+    const bool takesFilesOnly = options.command == "losses";
+    if (!options.files.empty() && !takesFilesOnly) {
         options.argument = options.files.front();
         options.files.erase(options.files.begin());
     }
@@ -177,7 +179,7 @@
             throw TCLAP::ArgException("expected an IP address and a port, as in 127.0.0.1:9080; found " + text);
         options.daemons.push_back(*address);
     }
-    const bool needsFiles = namesFilesOnly || options.command == "trace";
+    const bool needsFiles = takesFilesOnly || options.command == "trace";
     if (needsFiles ? options.files.empty() : options.daemons.empty())
         throw TCLAP::ArgException(needsFiles ? options.command + " needs at least one log file"
                                              : "the command needs at least one --admin ADDRESS");
--- a/test/LossReportTest.cpp
+++ b/test/LossReportTest.cpp
@@ -23,94 +23,94 @@
     }
 
     // Reads an admitted request with an objective of 4500 ms and a longest pause of 700 ms, then these lines.
-    void readAttempt(const std::string& lines)
+    void readAdmittedRequest(const std::string& lines)
     {
         read(line("request.admitted", R"("objective_ms":4500,"longest_pause_ms":700,"prompt_tokens":5000)") + lines);
     }
 
-    void checkOnly(AttemptEnd expected, bool hasReturned = false)
+    void checkOnlyOutcome(AttemptOutcome expected, bool hasReturned = false)
     {
-        for (const auto& row : attemptEndNames)
+        for (const auto& row : attemptOutcomeNames)
             LONGS_EQUAL_TEXT(row.value == expected ? 1 : 0, report.count(row.value, hasReturned), row.name.data());
     }
 };
 
-TEST(LossReport, AStreamWithinItsTimesIsInTime)
+TEST(LossReport, AStreamAtItsLimitsIsInTime)
 {
-    readAttempt(line("stream.first-event", R"("since_admitted_ms":4500)")
+    readAdmittedRequest(line("stream.first-event", R"("since_admitted_ms":4500)")
         + line("stream.resumed", R"("pause_ms":700,"from_copy":true)")
         + line("stream.done", R"("outcome":"complete","status":200,"took_ms":9000)"));
-    checkOnly(AttemptEnd::InTime);
+    checkOnlyOutcome(AttemptOutcome::InTime);
 }
 
-TEST(LossReport, TellsTheCausesOfALateStreamApart)
+TEST(LossReport, ALongPauseBeforeResumingFromACopyIsLateFromCopy)
 {
     const auto first = line("stream.first-event", R"("since_admitted_ms":1000)");
     const auto done = line("stream.done", R"("outcome":"complete","status":200)");
-    readAttempt(first + line("stream.resumed", R"("pause_ms":701,"from_copy":true)") + done);
-    checkOnly(AttemptEnd::LateFromCopy);
+    readAdmittedRequest(first + line("stream.resumed", R"("pause_ms":701,"from_copy":true)") + done);
+    checkOnlyOutcome(AttemptOutcome::LateFromCopy);
 }
 
-TEST(LossReport, ALongPauseByReadingAgainCountsAsCold)
+TEST(LossReport, ALongPauseBeforeResumingWithPrefillIsLateFromPrefill)
 {
-    readAttempt(line("stream.sent", R"("from_copy":false,"after_event":0)")
+    readAdmittedRequest(line("stream.sent", R"("from_copy":false,"after_event":0)")
         + line("stream.first-event", R"("since_admitted_ms":1000)") + line("stream.run-lost", R"("failure":"silent")")
         + line("stream.sent", R"("from_copy":false,"after_event":9)")
         + line("stream.resumed", R"("pause_ms":1701,"from_copy":false)")
         + line("stream.done", R"("outcome":"complete","status":200)"));
-    checkOnly(AttemptEnd::LateCold);
+    checkOnlyOutcome(AttemptOutcome::LateFromPrefill);
     std::ostringstream out;
     LONGS_EQUAL(1, report.write(out));
     STRCMP_CONTAINS("1  runs lost: silent\n", out.str().c_str());
     STRCMP_CONTAINS("1  runs resumed with a new prefill, 5000 tokens\n", out.str().c_str());
 }
 
-TEST(LossReport, ALateFirstEventIsACauseOfItsOwn)
+TEST(LossReport, ALateFirstEventIsCountedAsSuch)
 {
-    readAttempt(line("stream.first-event", R"("since_admitted_ms":4501)")
+    readAdmittedRequest(line("stream.first-event", R"("since_admitted_ms":4501)")
         + line("stream.done", R"("outcome":"complete","status":200)"));
-    checkOnly(AttemptEnd::LateFirstEvent);
+    checkOnlyOutcome(AttemptOutcome::LateFirstEvent);
 }
 
-TEST(LossReport, ReturnedCallersAreCountedApart)
+TEST(LossReport, ReturnedAttemptsAreCountedSeparately)
 {
-    readAttempt(line("stream.returned", "") + line("stream.first-event", R"("since_admitted_ms":20)")
+    readAdmittedRequest(line("stream.returned", "") + line("stream.first-event", R"("since_admitted_ms":20)")
         + line("stream.done", R"("outcome":"complete","status":200)"));
-    checkOnly(AttemptEnd::InTime, true);
+    checkOnlyOutcome(AttemptOutcome::InTime, true);
 }
 
-TEST(LossReport, TellsRefusalsFailuresAndErrorsOfTheServiceApart)
+TEST(LossReport, DistinguishesRefusalsFailuresServiceErrorsAndLateResponses)
 {
-    readAttempt(line("request.refused", R"("reason":"no-endpoint","status":503)"));
-    checkOnly(AttemptEnd::Refused);
-    readAttempt(line("request.refused", R"("reason":"timed-out","status":504)"));
-    checkOnly(AttemptEnd::Failed);
-    readAttempt(line("request.done", R"("outcome":"endpoint-status","status":500)"));
-    checkOnly(AttemptEnd::ServiceError);
-    readAttempt(line("request.done", R"("outcome":"answered","status":200,"took_ms":4501)"));
-    checkOnly(AttemptEnd::LateAnswer);
+    readAdmittedRequest(line("request.refused", R"("reason":"no-endpoint","status":503)"));
+    checkOnlyOutcome(AttemptOutcome::Refused);
+    readAdmittedRequest(line("request.refused", R"("reason":"timed-out","status":504)"));
+    checkOnlyOutcome(AttemptOutcome::Failed);
+    readAdmittedRequest(line("request.done", R"("outcome":"endpoint-status","status":500)"));
+    checkOnlyOutcome(AttemptOutcome::ServiceError);
+    readAdmittedRequest(line("request.done", R"("outcome":"answered","status":200,"took_ms":4501)"));
+    checkOnlyOutcome(AttemptOutcome::LateResponse);
 }
 
-TEST(LossReport, AnAttemptWithoutAnEndFellWithItsVm)
+TEST(LossReport, AnAttemptWithoutAnEndCountsAsVmLost)
 {
-    readAttempt(line("stream.sent", R"("from_copy":false,"after_event":0)"));
-    checkOnly(AttemptEnd::VmEnded);
+    readAdmittedRequest(line("stream.sent", R"("from_copy":false,"after_event":0)"));
+    checkOnlyOutcome(AttemptOutcome::VmLost);
 }
 
-TEST(LossReport, ACallerWhoLeavesIsNoLossOfTheVm)
+TEST(LossReport, AnAttemptWhoseCallerLeftIsNotCountedAsVmLost)
 {
-    readAttempt(line("stream.first-event", R"("since_admitted_ms":20)") + line("request.caller-gone", ""));
-    checkOnly(AttemptEnd::CallerLeftLate);
+    readAdmittedRequest(line("stream.first-event", R"("since_admitted_ms":20)") + line("request.caller-gone", ""));
+    checkOnlyOutcome(AttemptOutcome::CallerLeftDuringResponse);
 }
 
-TEST(LossReport, PassesOverLinesThatAreNoEventsOrOfAnUnknownRequest)
+TEST(LossReport, SkipsLinesWithoutAnEventAndEventsOfUnknownRequests)
 {
     read("nonsense\n{\"event\":7}\n{}\n" + line("stream.sent", R"("after_event":"x")"));
     std::ostringstream out;
     LONGS_EQUAL(0, report.write(out));
 }
 
-TEST(LossReport, CountsRefusalsByReasonAndZoneAlsoOfRequestsThatWereNotAdmitted)
+TEST(LossReport, CountsRefusalsByReasonAndZoneEvenIfNotAdmitted)
 {
     read(R"({"event":"process.started","vm":"v1","zone":"a"})"
          "\n"
--- a/test/RequestTraceTest.cpp
+++ b/test/RequestTraceTest.cpp
@@ -16,7 +16,7 @@
         trace.read(log);
     }
 
-    std::string written(std::size_t expectedLines)
+    std::string writeTrace(std::size_t expectedLines)
     {
         std::ostringstream out;
         LONGS_EQUAL(expectedLines, trace.write(out));
@@ -24,7 +24,7 @@
     }
 };
 
-TEST(RequestTrace, PutsTheLinesOfSeveralVmsInOrder)
+TEST(RequestTrace, SortsEventsOfSeveralVmsByTime)
 {
     read(R"({"time_ms":120,"vm":"b","event":"stream.returned","request":"r2","earlier_request":"r1"})"
          "\n");
@@ -32,10 +32,10 @@
     STRCMP_EQUAL("+0 ms {\"time_ms\":100,\"vm\":\"a\",\"event\":\"request.admitted\",\"request\":\"r1\"}\n"
                  "+20 ms {\"time_ms\":120,\"vm\":\"b\",\"event\":\"stream.returned\",\"request\":\"r2\","
                  "\"earlier_request\":\"r1\"}\n",
-        written(2).c_str());
+        writeTrace(2).c_str());
 }
 
-TEST(RequestTrace, ShowsTheNewestBeliefsOfTheVm)
+TEST(RequestTrace, ShowsTheNewestStateOfTheVmBeforeTheRequest)
 {
     read(R"({"time_ms":10,"vm":"a","event":"config.applied","config_version":4}
 {"time_ms":50,"vm":"a","event":"config.applied","config_version":7}
@@ -46,7 +46,7 @@
     STRCMP_EQUAL(
         "  VM state, 50 ms old: {\"time_ms\":50,\"vm\":\"a\",\"event\":\"config.applied\",\"config_version\":7}\n"
         "+0 ms {\"time_ms\":100,\"vm\":\"a\",\"event\":\"request.refused\",\"request\":\"r1\"}\n",
-        written(1).c_str());
+        writeTrace(1).c_str());
 }
 
-TEST(RequestTrace, SaysThatARequestIsUnknown) { STRCMP_EQUAL("", written(0).c_str()); }
+TEST(RequestTrace, WritesNothingForAnUnknownRequest) { STRCMP_EQUAL("", writeTrace(0).c_str()); }
