--- a/src/ctl/LossReport.h
+++ b/src/ctl/LossReport.h
@@ -33,7 +33,7 @@
     Failed, // The VM ended the request after it may have run.
     CallerLeftBeforeResponse, // The caller disconnected before the first event or the response.
     CallerLeftDuringResponse, // The caller disconnected during its stream.
-    VmLost, // The log has no end of the attempt: its VM crashed or stopped first.
+    VmLost, // The log ends or begins anew without an end of the attempt: its VM crashed or stopped.
 };
 
 inline constexpr std::array<EnumName<AttemptOutcome>, 11> attemptOutcomeNames { {
@@ -59,10 +59,10 @@
 
     // Adds the events of one VM's log.
     void read(std::istream&);
-    // Writes a table of the attempts by how they ended, then the lost runs, refusals, waits and calls to the store.
+    // Writes a table of the attempts by outcome, then the lost runs, refusals, waits and calls to the store.
     // Returns the number of attempts.
     std::size_t write(std::ostream&) const;
-    // Returns the number of attempts, either returned ones or others, that ended in this way.
+    // Returns the number of attempts with this outcome; either only those that returned to a stream or only the others.
     std::size_t count(AttemptOutcome end, bool hasReturned = false) const;
     // Counts by "REASON in ZONE", by what was waited for, and by "PURPOSE TABLE".
     const std::map<std::string, std::size_t>& refusals() const { return m_refusals; }
--- a/src/settings/DaemonSettings.h
+++ b/src/settings/DaemonSettings.h
@@ -28,11 +28,13 @@
 };
 
 struct GenerationSettings {
+    // For a whole generation, if the request sets none.
     Milliseconds deadline { 900000 };
     // How long a finished generation with an idempotency key is kept, for a caller that reconnects.
     Milliseconds retention { 120000 };
     // How long a generation with an idempotency key continues after its caller has disconnected.
     Milliseconds detachedGrace { 0 };
+    // Maximum of `max_tokens` in a request.
     std::int64_t maxTokens { 32768 };
     // Limit of the generations in memory, running or finished; further ones are refused.
     std::int64_t maxHeld { 20000 };
@@ -68,6 +70,7 @@
     std::int64_t port { 0 };
     // Interval between two reads of the platform's list of VMs.
     Milliseconds pollInterval { 1000 };
+    // Timeout for one read.
     Milliseconds timeout { 2000 };
 };
 
--- a/src/settings/SettingsTables.h
+++ b/src/settings/SettingsTables.h
@@ -39,7 +39,7 @@
     { "body_timeout_ms", &HttpServerSettings::bodyTimeout, 1, maxMilliseconds,
         "Timeout for receiving a request body." },
     { "write_timeout_ms", &HttpServerSettings::writeTimeout, 1, maxMilliseconds,
-        "Timeout for one write of a response to a caller." },
+        "Timeout for the client to receive one write of a response." },
 };
 
 inline const std::vector<SettingField<GenerationSettings>> generationFields {
