--- a/src/ctl/LossReport.cpp
+++ b/src/ctl/LossReport.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr int firstServerError = 500;
+constexpr int firstServerErrorStatus = 500;
 constexpr int columnWidth = 9;
 
 std::int64_t numberIn(const nlohmann::json& event, const char* name)
@@ -43,14 +43,14 @@
 struct LossReport::Attempt {
     // Limits of the route in milliseconds; 0 if the log has none.
     std::int64_t objective { 0 };
-    std::int64_t longestPause { 0 };
+    std::int64_t maxPause { 0 };
     std::int64_t promptTokens { 0 };
     bool isStream { false };
     bool hasReturned { false };
     bool hasFirstEvent { false };
     bool isRunFromPrefill { false };
     std::int64_t firstEventAfter { 0 };
-    std::int64_t longestResumption { 0 };
+    std::int64_t longestResumptionPause { 0 };
     bool wasLongestFromPrefill { false };
     bool hasCallerLeft { false };
     // Set by the event that ends the attempt.
@@ -79,14 +79,14 @@
     if (name == "request.admitted") {
         auto& attempt = m_attempts[request];
         attempt.objective = numberIn(event, "objective_ms");
-        attempt.longestPause = numberIn(event, "longest_pause_ms");
+        attempt.maxPause = numberIn(event, "longest_pause_ms");
         attempt.promptTokens = numberIn(event, "prompt_tokens");
         return;
     }
-    const auto known = m_attempts.find(request);
-    if (known == m_attempts.end())
+    const auto admitted = m_attempts.find(request);
+    if (admitted == m_attempts.end())
         return;
-    auto& attempt = known->second;
+    auto& attempt = admitted->second;
     if (name == "stream.done" || name == "request.done" || name == "request.refused")
         addCompletion(attempt, event);
     else if (name == "request.caller-gone")
@@ -128,8 +128,8 @@
         attempt.firstEventAfter = numberIn(event, "since_admitted_ms");
     } else if (name == "stream.run-lost") {
         ++m_lostRuns[stringIn(event, "failure") + (attempt.hasFirstEvent ? "" : ", before the first event")];
-    } else if (name == "stream.resumed" && numberIn(event, "pause_ms") > attempt.longestResumption) {
-        attempt.longestResumption = numberIn(event, "pause_ms");
+    } else if (name == "stream.resumed" && numberIn(event, "pause_ms") > attempt.longestResumptionPause) {
+        attempt.longestResumptionPause = numberIn(event, "pause_ms");
         attempt.wasLongestFromPrefill = !flagIn(event, "from_copy");
     }
 }
@@ -150,7 +150,7 @@
         return attempt.hasFirstEvent ? AttemptOutcome::CallerLeftDuringResponse
                                      : AttemptOutcome::CallerLeftBeforeResponse;
     }
-    if (attempt.outcome == "endpoint-status" && attempt.status >= firstServerError)
+    if (attempt.outcome == "endpoint-status" && attempt.status >= firstServerErrorStatus)
         return AttemptOutcome::ServiceError;
     const bool isServed
         = attempt.outcome == "complete" || attempt.outcome == "answered" || attempt.outcome == "endpoint-status";
@@ -159,16 +159,17 @@
     if (!attempt.isStream)
         return attempt.objective > 0 && attempt.duration > attempt.objective ? AttemptOutcome::LateResponse
                                                                              : AttemptOutcome::InTime;
-    if (attempt.longestPause > 0 && attempt.longestResumption > attempt.longestPause)
+    if (attempt.maxPause > 0 && attempt.longestResumptionPause > attempt.maxPause)
         return attempt.wasLongestFromPrefill ? AttemptOutcome::LateFromPrefill : AttemptOutcome::LateFromCopy;
     const bool isLate = attempt.objective > 0 && attempt.firstEventAfter > attempt.objective;
     return isLate ? AttemptOutcome::LateFirstEvent : AttemptOutcome::InTime;
 }
 
-std::size_t LossReport::count(AttemptOutcome end, bool hasReturned) const
+std::size_t LossReport::count(AttemptOutcome outcome, bool hasReturned) const
 {
-    return static_cast<std::size_t>(std::count_if(m_attempts.begin(), m_attempts.end(),
-        [&](const auto& entry) { return entry.second.hasReturned == hasReturned && outcomeOf(entry.second) == end; }));
+    return static_cast<std::size_t>(std::count_if(m_attempts.begin(), m_attempts.end(), [&](const auto& entry) {
+        return entry.second.hasReturned == hasReturned && outcomeOf(entry.second) == outcome;
+    }));
 }
 
 void LossReport::writeCounts(std::ostream& out, const std::map<std::string, std::size_t>& counts, std::string_view what)
--- a/src/ctl/LossReport.h
+++ b/src/ctl/LossReport.h
@@ -63,7 +63,7 @@
     // Returns the number of attempts.
     std::size_t write(std::ostream&) const;
     // Returns the number of attempts with this outcome; either only those that returned to a stream or only the others.
-    std::size_t count(AttemptOutcome end, bool hasReturned = false) const;
+    std::size_t count(AttemptOutcome outcome, bool hasReturned = false) const;
     // Counts by "REASON in ZONE", by what was waited for, and by "PURPOSE TABLE".
     const std::map<std::string, std::size_t>& refusals() const { return m_refusals; }
     const std::map<std::string, std::size_t>& waits() const { return m_waits; }
