--- a/src/settings/SettingsTables.h
+++ b/src/settings/SettingsTables.h
@@ -35,7 +35,7 @@
     { "max_body_bytes", &HttpServerSettings::maxBodyBytes, 1, 1073741824,
         "Maximum size of a request body; a larger one is answered with 413." },
     { "header_timeout_ms", &HttpServerSettings::headerTimeout, 1, maxMilliseconds,
-        "Timeout for receiving a request header; an idle connection is closed after the same time." },
+        "Timeout for receiving a request header, counted from its first byte." },
     { "body_timeout_ms", &HttpServerSettings::bodyTimeout, 1, maxMilliseconds,
         "Timeout for receiving a request body." },
     { "write_timeout_ms", &HttpServerSettings::writeTimeout, 1, maxMilliseconds,
