--- a/src/admission/AttemptAdmission.h
+++ b/src/admission/AttemptAdmission.h
@@ -7,19 +7,19 @@
 // - No endpoint accepts a request: all are full, unreachable, in back-off (requested with Retry-After) or rate limited.
 //   Requests with enough time left wait; the others are refused at once with a Retry-After.
 //
-//     const auto verdict = judgeAttempt(state);
-//     if (verdict != AttemptVerdict::Allowed) refuse(refusalAfter(verdict, state.possibleRuns));
+//     const auto verdict = decideAttempt(state);
+//     if (verdict != AttemptDecision::Allowed) refuse(refusalAfter(verdict, state.possibleRuns));
 //     ...
-//     const auto wait = waitOrRefuse({ call, opening, usualCallTime, spread, reason }, now);
+//     const auto wait = waitOrRefuse({ call, availability, usualCallTime, spread, reason }, now);
 //
 // Pure functions of their arguments; thread-safe.
 #pragma once
 
 #include "admission/RefusalReason.h"
-#include "admission/WaitForPlace.h"
-#include "endpoint/EndpointOpening.h"
+#include "admission/WaitForCapacity.h"
+#include "endpoint/EndpointAvailability.h"
 #include "lupinknot/Clock.h"
-#include "quarantine/Standing.h"
+#include "quarantine/QuarantineStatus.h"
 #include <optional>
 
 namespace lupinknot::internal {
@@ -28,7 +28,7 @@
 
 // State of a request before an attempt.
 struct AttemptState {
-    Standing standing { Standing::Free };
+    QuarantineStatus quarantineStatus { QuarantineStatus::Free };
     // Attempts that an endpoint may have run so far, and the maximum allowed.
     unsigned possibleRuns { 0 };
     unsigned maxRuns { 1 };
@@ -36,7 +36,7 @@
     bool mayRunAgain { false };
 };
 
-enum class AttemptVerdict {
+enum class AttemptDecision {
     Allowed,
     Undecided, // Ask again soon: the quarantine has not yet decided on endpoints that were lost under the request.
     Held, // The request is in quarantine because it crashes endpoints.
@@ -44,19 +44,19 @@
     RetriesSpent, // The retry budget is spent.
 };
 
-AttemptVerdict judgeAttempt(const AttemptState&);
+AttemptDecision decideAttempt(const AttemptState&);
 // True if the run limits alone permit one more attempt; ignores the quarantine.
 bool mayRunOnceMore(const AttemptState&);
 // The reason to report when the next attempt is not made.
-RefusalReason refusalAfter(AttemptVerdict, unsigned possibleRuns);
+RefusalReason refusalAfter(AttemptDecision, unsigned possibleRuns);
 // The purpose of a retry that follows an attempt with this result.
-RetryPurpose purposeAfter(RefusalReason lastReason);
+RetryPurpose retryPurposeAfter(RefusalReason lastReason);
 
 // A request that no endpoint accepts at present and that has not run anywhere.
 struct UnplacedRequest {
     WaitingCall call;
     // When the first endpoint accepts requests again, if all are rate limited or in back-off.
-    std::optional<EndpointOpening> opening;
+    std::optional<EndpointAvailability> availability;
     // Usual duration of a call to the service.
     Milliseconds usualCallTime { 0 };
     // Random value from 0 to 1 that differs between requests.
@@ -77,17 +77,17 @@
 
 // The same decision for a stream. A stream polls for an engine every `pollInterval` until `waitsUntil` and is refused
 // earlier only if it has not run and no engine becomes available by then.
-UnplacedDecision waitOrRefuseStream(const std::optional<EndpointOpening>&, unsigned possibleRuns,
+UnplacedDecision waitOrRefuseStream(const std::optional<EndpointAvailability>&, unsigned possibleRuns,
     Milliseconds waitsUntil, Milliseconds pollInterval, Milliseconds now);
 
 // True for refusals because all endpoints are in back-off or rate limited.
-bool isForOpening(RefusalReason);
+bool isUnavailabilityRefusal(RefusalReason);
 
-// Retry delay for a caller that is refused because no endpoint accepts requests before `opening`. After a back-off,
-// callers are spread so that they do not return together.
-Milliseconds comeBackAtOpening(const EndpointOpening&, double spread, Milliseconds now);
+// Retry delay for a caller that is refused because no endpoint accepts requests before `availability`. After a
+// back-off, callers are spread so that they do not return together.
+Milliseconds retryDelayUntilAvailable(const EndpointAvailability&, double spread, Milliseconds now);
 
 // Retry delay for a caller that is refused for `lastReason`.
-Milliseconds comeBackAfter(const UnplacedRequest&, Milliseconds now);
+Milliseconds retryDelayAfterRefusal(const UnplacedRequest&, Milliseconds now);
 
 } // namespace lupinknot::internal
--- a/src/admission/RetryPurpose.h
+++ b/src/admission/RetryPurpose.h
@@ -4,9 +4,9 @@
 namespace lupinknot::internal {
 
 enum class RetryPurpose {
-    Rescue, // Continues an answer that has begun, or a request whose endpoint failed, on another endpoint.
-    FullService, // An endpoint rejected the request. A full service is usually full for all VMs.
-    Precaution, // Nothing has failed yet: a second copy of a slow call, or a move to an endpoint with room to grow.
+    Failover, // Continues an answer that has begun, or a request whose endpoint failed, on another endpoint.
+    AfterRejection, // An endpoint rejected the request. A full service is usually full for all VMs.
+    Proactive, // Nothing has failed yet: a second copy of a slow call, or a move to an endpoint with room to grow.
 };
 
 } // namespace lupinknot::internal
--- a/src/admission/StartupWait.cpp
+++ b/src/admission/StartupWait.cpp
@@ -15,7 +15,7 @@
     }
     if (now < until)
         return { StartupAction::Wait, until };
-    // Without endpoints the request may still wait for capacity (WaitForPlace).
+    // Without endpoints the request may still wait for capacity (WaitForCapacity).
     return { state.hasConfiguration ? StartupAction::Serve : StartupAction::Refuse, now };
 }
 
--- a/src/admission/WaitForPlace.cpp
+++ b/src/admission/WaitForCapacity.cpp
@@ -1,4 +1,4 @@
-#include "admission/WaitForPlace.h"
+#include "admission/WaitForCapacity.h"
 
 #include <algorithm>
 
@@ -16,7 +16,7 @@
 
 } // namespace
 
-WaitDecision waitForPlace(const WaitingCall& call, Milliseconds usualCallTime, double spread, Milliseconds now)
+WaitDecision waitForCapacity(const WaitingCall& call, Milliseconds usualCallTime, double spread, Milliseconds now)
 {
     const auto first = std::clamp(usualCallTime, minPause, maxPause);
     const auto doubled = std::min(first * (1 << std::min(call.rounds, maxDoublings)), maxPause);
@@ -31,7 +31,7 @@
     return std::max(latest - now, Milliseconds { 0 });
 }
 
-WaitDecision waitForOpening(const WaitingCall& call, Milliseconds timeUntilAvailable, Milliseconds usualCallTime,
+WaitDecision waitForAvailability(const WaitingCall& call, Milliseconds timeUntilAvailable, Milliseconds usualCallTime,
     double spread, Milliseconds now)
 {
     const auto pause = std::max(timeUntilAvailable, minPause) + scaled(retryDelayWhenFull, spread);
--- a/src/admission/WaitForPlace.h
+++ b/src/admission/WaitForCapacity.h
@@ -12,7 +12,7 @@
 // In both cases a caller has a single retry, so waiting is better than a refusal as long as the answer can arrive in
 // time.
 //
-//     const auto decision = waitForPlace({ arrivedAt, deadline, rounds }, usualCallTime, spread, now);
+//     const auto decision = waitForCapacity({ arrivedAt, deadline, rounds }, usualCallTime, spread, now);
 //     if (decision.waits) ...                                  // Try again after decision.pause.
 //     else refuse(callerRetryDelay(CapacityObstacle::Full, timeLeft, spread));
 //
@@ -52,7 +52,7 @@
 inline constexpr double pauseSpread = 0.25;
 
 // `usualCallTime` is the usual duration of a call to the service, `spread` a random number from 0 to 1.
-WaitDecision waitForPlace(const WaitingCall&, Milliseconds usualCallTime, double spread, Milliseconds now);
+WaitDecision waitForCapacity(const WaitingCall&, Milliseconds usualCallTime, double spread, Milliseconds now);
 
 // How long the call may still wait while leaving time for one more try by its caller.
 Milliseconds timeToWait(const WaitingCall&, Milliseconds now);
@@ -60,7 +60,7 @@
 // The same decision if the time until the first endpoint accepts requests again is known, because all are in back-off
 // or rate limited. A call that cannot wait until then is refused at once. `spread` delays calls that wait for the end
 // of the same back-off so that they do not arrive together; it is 0 for permits, which are spaced already.
-WaitDecision waitForOpening(
+WaitDecision waitForAvailability(
     const WaitingCall&, Milliseconds timeUntilAvailable, Milliseconds usualCallTime, double spread, Milliseconds now);
 
 // Maximum share of its remaining time that a caller is told to wait; callers cut longer delays to this.
--- a/src/admission/WaitingRoom.h
+++ b/src/admission/WaitingRequestLimit.h
@@ -12,7 +12,7 @@
 
 namespace lupinknot::internal {
 
-class WaitingRoom {
+class WaitingRequestLimit {
 public:
     // A small VM serves a few hundred requests a second, and none waits longer than two seconds on usual routes.
     static constexpr std::size_t maxRequests = 256;
--- a/src/endpoint/EndpointOpening.h
+++ b/src/endpoint/EndpointAvailability.h
@@ -5,10 +5,10 @@
 
 namespace lupinknot::internal {
 
-struct EndpointOpening {
+struct EndpointAvailability {
     Milliseconds at { 0 };
     // True if the endpoint is in back-off until then (Retry-After); false if the request waits for a permit.
-    bool isAfterRest { false };
+    bool isAfterBackOff { false };
 };
 
 } // namespace lupinknot::internal
--- a/src/endpoint/EndpointSignals.h
+++ b/src/endpoint/EndpointSignals.h
@@ -4,8 +4,9 @@
 // An endpoint that rejects a request may ask this VM for a back-off with Retry-After; other VMs may go on sending. An
 // endpoint that is about to shut down says so in its answers; this holds for all VMs and is final for the incarnation.
 //
-//     signals.noteRest(time, now);
-//     if (signals.accepts(now)) ...               // If false: not before signals.restsUntil(), or never if it leaves.
+//     signals.noteBackOff(time, now);
+//     if (signals.accepts(now)) ...               // If false: not before signals.backOffUntil(), or never if it
+//     leaves.
 //
 // A plain value without input or output; not thread-safe.
 #pragma once
@@ -18,19 +19,19 @@
 public:
     // Records a back-off of length `time` requested by an answer received now. Returns true if a back-off begins or is
     // extended.
-    bool noteRest(Milliseconds time, Milliseconds now);
+    bool noteBackOff(Milliseconds time, Milliseconds now);
     // Records that the incarnation is shutting down. Returns true the first time.
     bool noteLeaving();
     // Adds what was recorded earlier about the same incarnation.
     void merge(const EndpointSignals&);
 
-    Milliseconds restsUntil() const { return m_restsUntil; }
-    bool isResting(Milliseconds now) const { return now < m_restsUntil; }
+    Milliseconds backOffUntil() const { return m_backOffUntil; }
+    bool isInBackOff(Milliseconds now) const { return now < m_backOffUntil; }
     bool isLeaving() const { return m_isLeaving; }
-    bool accepts(Milliseconds now) const { return !m_isLeaving && !isResting(now); }
+    bool accepts(Milliseconds now) const { return !m_isLeaving && !isInBackOff(now); }
 
 private:
-    Milliseconds m_restsUntil { 0 };
+    Milliseconds m_backOffUntil { 0 };
     bool m_isLeaving { false };
 };
 
--- a/src/limits/KeeperWatch.cpp
+++ b/src/limits/KeeperReachability.cpp
@@ -1,4 +1,4 @@
-#include "limits/KeeperWatch.h"
+#include "limits/KeeperReachability.h"
 
 #include "limits/LimitKeeper.h"
 
@@ -6,13 +6,13 @@
 
 namespace lupinknot::internal {
 
-bool KeeperWatch::isPassedOver(const std::string& name, Milliseconds now) const
+bool KeeperReachability::isSkipped(const std::string& name, Milliseconds now) const
 {
     const auto unanswered = m_unanswered.find(name);
     return unanswered != m_unanswered.end() && now - unanswered->second.askedLastAt < skippedFor;
 }
 
-bool KeeperWatch::noteAnswer(const std::string& name, bool hasAnswered, Milliseconds now)
+bool KeeperReachability::noteAnswer(const std::string& name, bool hasAnswered, Milliseconds now)
 {
     if (hasAnswered) {
         m_unanswered.erase(name);
@@ -23,13 +23,13 @@
     return isNew;
 }
 
-double KeeperWatch::shareOfSubstitute(const std::vector<std::string>& before, Milliseconds now) const
+double KeeperReachability::shareAsSubstitute(const std::vector<std::string>& before, Milliseconds now) const
 {
     const auto isPresumedGone = [this, now](const std::string& name) {
         const auto unanswered = m_unanswered.find(name);
-        return unanswered != m_unanswered.end() && now - unanswered->second.since >= goneAfter;
+        return unanswered != m_unanswered.end() && now - unanswered->second.since >= presumedGoneAfter;
     };
-    return std::all_of(before.begin(), before.end(), isPresumedGone) ? LimitKeeper::wholeShare
+    return std::all_of(before.begin(), before.end(), isPresumedGone) ? LimitKeeper::primaryShare
                                                                      : LimitKeeper::substituteShare;
 }
 
--- a/src/limits/KeeperWatch.h
+++ b/src/limits/KeeperReachability.h
@@ -5,8 +5,8 @@
 // reach it. VMs that do not reach it ask the next keeper, so for a while two keepers issue permits for the same
 // endpoint.
 //
-//     if (!watch.isPassedOver(name, now)) ...                 // Ask it, then watch.noteAnswer(name, hasAnswered, now).
-//     const auto share = watch.shareOfSubstitute({ first }, now);
+//     if (!watch.isSkipped(name, now)) ...                 // Ask it, then watch.noteAnswer(name, hasAnswered, now).
+//     const auto share = watch.shareAsSubstitute({ first }, now);
 //
 // Without input or output; not thread-safe.
 #pragma once
@@ -18,19 +18,19 @@
 
 namespace lupinknot::internal {
 
-class KeeperWatch {
+class KeeperReachability {
 public:
     // A keeper that has not answered is skipped for this long before it is asked again.
     static constexpr Milliseconds skippedFor { 2000 };
     // A keeper that has not answered for this long is probably gone, and the permits that it issued have been used.
-    static constexpr Milliseconds goneAfter { 4000 };
+    static constexpr Milliseconds presumedGoneAfter { 4000 };
 
-    bool isPassedOver(const std::string& name, Milliseconds now) const;
+    bool isSkipped(const std::string& name, Milliseconds now) const;
     // Records whether the VM answered. Returns true if the VM has stopped answering.
     bool noteAnswer(const std::string& name, bool hasAnswered, Milliseconds now);
     // The share of a limit that this VM issues as a substitute for the keepers `before` it: all of it once it has
-    // failed to reach every one of them for `goneAfter`.
-    double shareOfSubstitute(const std::vector<std::string>& before, Milliseconds now) const;
+    // failed to reach every one of them for `presumedGoneAfter`.
+    double shareAsSubstitute(const std::vector<std::string>& before, Milliseconds now) const;
 
 private:
     // A VM that does not answer.
--- a/src/limits/HeardLimit.h
+++ b/src/limits/KnownLimit.h
@@ -33,7 +33,7 @@
     { LimitChange::Confirmed, "confirmed" },
 } };
 
-class HeardLimit {
+class KnownLimit {
 public:
     // A limit that has not been heard for this long may have changed.
     static constexpr Milliseconds freshFor { 1000 };
@@ -46,7 +46,7 @@
     // Records the limit in an answer that arrives now to a request sent at `sentAt`.
     LimitChange noteAnswer(std::optional<double> perSecond, Milliseconds sentAt, Milliseconds now);
     // Records what another VM heard at `heardAt`, if that is newer.
-    LimitChange noteNews(std::optional<double> perSecond, Milliseconds heardAt);
+    LimitChange notePeerReport(std::optional<double> perSecond, Milliseconds heardAt);
 
 private:
     LimitChange set(std::optional<double> perSecond, Milliseconds heardAt);
--- a/src/limits/LimitKeeper.cpp
+++ b/src/limits/LimitKeeper.cpp
@@ -22,7 +22,7 @@
 // one.
 constexpr std::size_t maxTrackedReturns = 1000;
 
-LimitNews reportOf(const HeardLimit& limit, Milliseconds now) { return { limit.perSecond(), now - limit.heardAt() }; }
+LimitReport reportOf(const KnownLimit& limit, Milliseconds now) { return { limit.perSecond(), now - limit.heardAt() }; }
 
 } // namespace
 
@@ -42,21 +42,21 @@
     std::erase_if(m_states, [now](const auto& entry) { return now - entry.second.usedAt > unusedStateLifetime; });
 }
 
-void LimitKeeper::tell(const std::string& endpoint, const LimitNews& news, Milliseconds now)
+void LimitKeeper::reportLimit(const std::string& endpoint, const LimitReport& report, Milliseconds now)
 {
-    stateOf(endpoint, now).limit.noteNews(news.perSecond, now - news.age);
+    stateOf(endpoint, now).limit.notePeerReport(report.perSecond, now - report.age);
 }
 
-LimitNews LimitKeeper::news(const std::string& endpoint, Milliseconds now) const
+LimitReport LimitKeeper::report(const std::string& endpoint, Milliseconds now) const
 {
     const auto known = m_states.find(endpoint);
-    return known == m_states.end() ? LimitNews { std::nullopt, now } : reportOf(known->second.limit, now);
+    return known == m_states.end() ? LimitReport { std::nullopt, now } : reportOf(known->second.limit, now);
 }
 
 PermitAnswer LimitKeeper::ask(const PermitRequest& request, double share, Milliseconds now)
 {
     auto& state = stateOf(request.endpoint, now);
-    state.limit.noteNews(request.news.perSecond, now - request.news.age);
+    state.limit.notePeerReport(request.report.perSecond, now - request.report.age);
     const auto perSecond = state.limit.perSecond();
     if (!perSecond)
         return { true, Milliseconds { 0 }, reportOf(state.limit, now) };
@@ -66,7 +66,7 @@
     if (!std::exchange(state.hasStarted, true))
         schedule.delay(m_firstSlotDelayShare);
     const auto wait = schedule.waitFor(now);
-    if (wait > std::min(request.patience, maxWaiting * schedule.interval()))
+    if (wait > std::min(request.permitTimeout, maxWaiting * schedule.interval()))
         return { false, nextReturnDelay(state, std::max(wait, Milliseconds { 1 }), now), reportOf(state.limit, now) };
     schedule.take(now);
     return { true, wait, reportOf(state.limit, now) };
--- a/src/limits/LimitKeeper.h
+++ b/src/limits/LimitKeeper.h
@@ -3,15 +3,15 @@
 // A single VM issues all permits of an endpoint, because a fixed share of the limit for each VM wastes the shares of
 // VMs without requests and permits bursts when many VMs have one request each: 300 VMs with one permit each are 300
 // requests at an endpoint that accepts one a second. Reports of the limit from the asking VMs are ordered by the time
-// at which it was heard (HeardLimit).
+// at which it was heard (KnownLimit).
 //
 //     LimitKeeper keeper;
-//     const auto answer = keeper.ask(request, LimitKeeper::wholeShare, now);
+//     const auto answer = keeper.ask(request, LimitKeeper::primaryShare, now);
 //
 // Without input or output; not thread-safe.
 #pragma once
 
-#include "limits/HeardLimit.h"
+#include "limits/KnownLimit.h"
 #include "limits/PermitSchedule.h"
 #include "limits/PermitSource.h"
 #include <deque>
@@ -31,7 +31,7 @@
     }
 
     // The share of a limit that is issued; the rest allows for permits that are used a little late.
-    static constexpr double wholeShare = 0.95;
+    static constexpr double primaryShare = 0.95;
     // The share issued when another VM may be issuing permits for the same endpoint, because VMs know different lists
     // of VMs or some cannot reach the keeper. Both shares together, plus the first permits of each, stay below 1.5
     // times the limit, which endpoints tolerate.
@@ -41,15 +41,15 @@
     static constexpr int maxWaiting = 2;
 
     PermitAnswer ask(const PermitRequest&, double share, Milliseconds now);
-    void tell(const std::string& endpoint, const LimitNews&, Milliseconds now);
+    void reportLimit(const std::string& endpoint, const LimitReport&, Milliseconds now);
     // The limit of the endpoint as known to this keeper.
-    LimitNews news(const std::string& endpoint, Milliseconds now) const;
+    LimitReport report(const std::string& endpoint, Milliseconds now) const;
     // Number of endpoints with state.
     std::size_t size() const { return m_states.size(); }
 
 private:
     struct EndpointState {
-        HeardLimit limit;
+        KnownLimit limit;
         PermitSchedule schedule;
         bool hasStarted { false };
         // Times at which VMs without a permit were told to ask again, oldest first.
--- a/src/limits/PermitSource.h
+++ b/src/limits/PermitSource.h
@@ -1,7 +1,7 @@
 // Interface through which a VM asks for permits to send requests to rate-limited endpoints, and reports the limits that
 // it hears.
 //
-//     permits.ask({ startName, limit, patience }, [](const PermitAnswer& answer) { ... });
+//     permits.ask({ startName, limit, permitTimeout }, [](const PermitAnswer& answer) { ... });
 //
 // Used on the relay's thread only. It outlives the answers to its questions or drops them.
 #pragma once
@@ -14,7 +14,7 @@
 namespace lupinknot::internal {
 
 // What a VM has heard of an endpoint's limit.
-struct LimitNews {
+struct LimitReport {
     // Requests a second; empty if the endpoint states no limit.
     std::optional<double> perSecond;
     // Time since it was heard.
@@ -24,9 +24,9 @@
 struct PermitRequest {
     // Identifies the endpoint incarnation (EndpointEntry::startName).
     std::string endpoint;
-    LimitNews news;
+    LimitReport report;
     // How long the request can wait for its slot.
-    Milliseconds patience { 0 };
+    Milliseconds permitTimeout { 0 };
 };
 
 struct PermitAnswer {
@@ -34,7 +34,7 @@
     // Time until the request may be sent or, without a permit, until asking again may help.
     Milliseconds wait { 0 };
     // The limit as known to the VM that was asked.
-    LimitNews news;
+    LimitReport report;
 };
 
 class PermitSource {
@@ -43,7 +43,7 @@
     // Calls back once, never before it returns.
     virtual void ask(const PermitRequest&, std::function<void(const PermitAnswer&)>) = 0;
     // Reports a limit without asking for a permit.
-    virtual void tell(const std::string& endpoint, const LimitNews&) = 0;
+    virtual void reportLimit(const std::string& endpoint, const LimitReport&) = 0;
 };
 
 } // namespace lupinknot::internal
--- a/src/quarantine/CrashWeight.cpp
+++ b/src/quarantine/CrashWeight.cpp
@@ -31,20 +31,20 @@
         return 0;
     const bool hasJustBegun = run.workedFor <= maxAgeOfNewRun;
     switch (run.beginning) {
-    case RunBeginning::NotYet:
+    case RunStart::NotYet:
         return 0;
     // Reading a prompt takes longer than this: the engine had crashed before, behind a proxy that accepted the
     // connection.
-    case RunBeginning::Hidden:
+    case RunStart::Hidden:
         return run.workedFor < minWorkTime ? 0 : halfSuspicion;
-    case RunBeginning::Producing:
+    case RunStart::Producing:
         if (run.workedFor >= longRunTime)
             return 0;
         break;
     // Without an event there is no evidence in favour of the request.
-    case RunBeginning::Begun:
+    case RunStart::Begun:
         break;
-    case RunBeginning::Assumed:
+    case RunStart::Assumed:
         if (run.workedFor < minWorkTime)
             return halfSuspicion;
         break;
--- a/src/quarantine/CrashWeight.h
+++ b/src/quarantine/CrashWeight.h
@@ -17,7 +17,7 @@
 namespace lupinknot::internal {
 
 // What the response shows about the time at which the endpoint began to run the request.
-enum class RunBeginning {
+enum class RunStart {
     Producing, // Events had arrived.
     Begun, // The response header had arrived.
     NotYet, // The header had not arrived, and this service sends it before the first event.
@@ -25,18 +25,18 @@
     Assumed, // A call with a complete response, which begins as soon as the endpoint has capacity.
 };
 
-inline constexpr std::array<EnumName<RunBeginning>, 5> runBeginningNames { {
-    { RunBeginning::Producing, "producing" },
-    { RunBeginning::Begun, "begun" },
-    { RunBeginning::NotYet, "not-yet" },
-    { RunBeginning::Hidden, "hidden" },
-    { RunBeginning::Assumed, "assumed" },
+inline constexpr std::array<EnumName<RunStart>, 5> runStartNames { {
+    { RunStart::Producing, "producing" },
+    { RunStart::Begun, "begun" },
+    { RunStart::NotYet, "not-yet" },
+    { RunStart::Hidden, "hidden" },
+    { RunStart::Assumed, "assumed" },
 } };
 
 // A run that its endpoint did not finish.
 struct UnfinishedRun {
     FailureKind failure { FailureKind::ConnectionLost };
-    RunBeginning beginning { RunBeginning::Hidden };
+    RunStart beginning { RunStart::Hidden };
     // Time from the first event, or else from the header, or else from the sending, to the last sign of life of the
     // endpoint.
     Milliseconds workedFor { 0 };
--- a/src/quarantine/EndpointLosses.cpp
+++ b/src/quarantine/EndpointLosses.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t minCorrelatedLossesInService = 2;
 // Losses are kept for as long as an evaluation looks back. No endpoint restarts within this time: a request sent to it
 // until then finds it lost. `maxLosses` is more than the engines of a fleet.
-constexpr Milliseconds lossLifetime { 3 * EndpointLosses::moment };
+constexpr Milliseconds lossLifetime { 3 * EndpointLosses::correlationWindow };
 constexpr std::size_t maxDigestsPerLoss = 16;
 constexpr std::size_t maxLosses = 4096;
 
@@ -43,7 +43,7 @@
     });
 }
 
-bool EndpointLosses::wentWithOthers(const EndpointLoss& loss, const OtherEndpoints& others) const
+bool EndpointLosses::isCorrelatedLoss(const EndpointLoss& loss, const OtherEndpointCounts& others) const
 {
     std::size_t inZone = 0;
     std::size_t inService = 0;
@@ -51,7 +51,8 @@
         const auto& other = lost.first;
         const bool isSameRequestOrEndpoint = other.endpointId == loss.endpointId
             || std::find(lost.digests.begin(), lost.digests.end(), loss.digest) != lost.digests.end();
-        if (isSameRequestOrEndpoint || other.service != loss.service || timeBetween(other.at, loss.at) > moment)
+        if (isSameRequestOrEndpoint || other.service != loss.service
+            || timeBetween(other.at, loss.at) > correlationWindow)
             continue;
         ++inService;
         inZone += other.zone == loss.zone;
--- a/src/quarantine/EndpointLosses.h
+++ b/src/quarantine/EndpointLosses.h
@@ -24,7 +24,7 @@
 };
 
 // Numbers of endpoints, without the lost one.
-struct OtherEndpoints {
+struct OtherEndpointCounts {
     std::size_t inZone { 0 };
     std::size_t inService { 0 };
 };
@@ -37,11 +37,11 @@
     // True if the endpoint was lost before `instant` and has shown no life since, so that a request sent at `instant`
     // did not crash it.
     bool wasLostBefore(const std::string& endpointId, Milliseconds instant, Milliseconds lastAliveAt) const;
-    // True if enough other endpoints were lost within `moment` to explain the loss.
-    bool wentWithOthers(const EndpointLoss&, const OtherEndpoints&) const;
+    // True if enough other endpoints were lost within `correlationWindow` to explain the loss.
+    bool isCorrelatedLoss(const EndpointLoss&, const OtherEndpointCounts&) const;
 
     // Losses this close together count as one event: broken connections are seen at once, silence within about 300 ms.
-    static constexpr Milliseconds moment { 500 };
+    static constexpr Milliseconds correlationWindow { 500 };
 
 private:
     // One lost endpoint, with all requests under which the loss was seen.
--- a/src/quarantine/Quarantine.h
+++ b/src/quarantine/Quarantine.h
@@ -44,7 +44,7 @@
     // shared ones if one more suspicion would hold the request. Fewer records do no harm, and each withdrawal costs a
     // call.
     std::vector<std::string> clear(const std::string& digest);
-    // Removes records older than recordTime.
+    // Removes records older than recordLifetime.
     void forgetOld(Milliseconds now);
 
     // True if there are records against the request.
@@ -75,7 +75,7 @@
     // A trial without a result after this time counts as ended.
     static constexpr Milliseconds maxTrialTime { 10'000 };
     // How long a record counts.
-    static constexpr Milliseconds recordTime { 1'800'000 };
+    static constexpr Milliseconds recordLifetime { 1'800'000 };
     // Maximum number of suspect requests; the one whose last crash is oldest is removed first.
     static constexpr std::size_t maxSuspects = 2000;
     static constexpr std::size_t maxRecordsPerSuspect = 16;
--- a/src/quarantine/Standing.h
+++ b/src/quarantine/QuarantineStatus.h
@@ -3,9 +3,9 @@
 
 namespace lupinknot::internal {
 
-enum class Standing {
+enum class QuarantineStatus {
     Free,
-    UnderJudgement, // Wait: recent losses under the request are not evaluated yet.
+    Pending, // Wait: recent losses under the request are not evaluated yet.
     Held,
 };
 
--- a/src/relay/CrashGuard.cpp
+++ b/src/relay/CrashGuard.cpp
@@ -55,12 +55,13 @@
     return weight;
 }
 
-Standing CrashGuard::standing(const std::string& digest) const
+QuarantineStatus CrashGuard::quarantineStatus(const std::string& digest) const
 {
     if (m_quarantine.isHeld(digest, m_clock.now()))
-        return Standing::Held;
+        return QuarantineStatus::Held;
     const auto pending = pendingWeight(digest);
-    return pending > 0 && m_quarantine.wouldBeHeld(digest, pending) ? Standing::UnderJudgement : Standing::Free;
+    return pending > 0 && m_quarantine.wouldBeHeld(digest, pending) ? QuarantineStatus::Pending
+                                                                    : QuarantineStatus::Free;
 }
 
 Milliseconds CrashGuard::heldFor(const std::string& digest) const
@@ -109,7 +110,8 @@
     if (m_isEvaluationScheduled || m_pendingLosses.empty())
         return;
     m_isEvaluationScheduled = true;
-    m_evaluationTimer.expires_after(m_pendingLosses.front().event.at + EndpointLosses::moment - m_clock.now());
+    m_evaluationTimer.expires_after(
+        m_pendingLosses.front().event.at + EndpointLosses::correlationWindow - m_clock.now());
     m_evaluationTimer.async_wait([this](boost::system::error_code error) {
         if (error)
             return;
@@ -120,7 +122,7 @@
 
 void CrashGuard::evaluate()
 {
-    const auto due = m_clock.now() - EndpointLosses::moment;
+    const auto due = m_clock.now() - EndpointLosses::correlationWindow;
     while (!m_pendingLosses.empty() && m_pendingLosses.front().event.at <= due) {
         const auto pendingLoss = std::move(m_pendingLosses.front());
         m_pendingLosses.pop_front();
@@ -129,9 +131,9 @@
     scheduleEvaluation();
 }
 
-bool CrashGuard::wentWithOthers(const PendingLoss& pendingLoss) const
+bool CrashGuard::isCorrelatedLoss(const PendingLoss& pendingLoss) const
 {
-    OtherEndpoints others;
+    OtherEndpointCounts others;
     for (const auto& endpoint : m_directory.endpointsOf(pendingLoss.event.service)) {
         if (endpoint->entry().startName() == pendingLoss.event.endpointId)
             continue;
@@ -139,20 +141,20 @@
         others.inZone += endpoint->entry().availabilityZone == pendingLoss.event.zone;
     }
     // An endpoint that has announced its shutdown since the loss was already shutting down at the loss.
-    return pendingLoss.loss.endpoint->entry().isDraining || m_losses.wentWithOthers(pendingLoss.event, others);
+    return pendingLoss.loss.endpoint->entry().isDraining || m_losses.isCorrelatedLoss(pendingLoss.event, others);
 }
 
 void CrashGuard::evaluate(const PendingLoss& pendingLoss)
 {
     const auto& loss = pendingLoss.loss;
-    const bool isCorrelated = wentWithOthers(pendingLoss);
+    const bool isCorrelated = isCorrelatedLoss(pendingLoss);
     LogEvent("quarantine.judged")
         .text("request", loss.requestId)
         .text("digest", loss.digest)
         .text("endpoint", pendingLoss.event.endpointId)
         .text("zone", pendingLoss.event.zone)
         .text("failure", traitsOf(loss.run.failure).name)
-        .text("beginning", nameIn(runBeginningNames, loss.run.beginning))
+        .text("beginning", nameIn(runStartNames, loss.run.beginning))
         .number("worked_ms", loss.run.workedFor.count())
         .number("weight_percent", inPercent(pendingLoss.weight))
         .flag("went_with_others", isCorrelated)
@@ -175,7 +177,7 @@
     const bool wasHeld = m_quarantine.isHeld(record.digest, now);
     // A record that arrives late, or again after a restart of this VM, counts from the time of the loss.
     const auto age
-        = std::clamp(Milliseconds { wallClockAt(now) - record.lostAt }, Milliseconds { 0 }, Quarantine::recordTime);
+        = std::clamp(Milliseconds { wallClockAt(now) - record.lostAt }, Milliseconds { 0 }, Quarantine::recordLifetime);
     if (!m_quarantine.add(record, record.lostAt > 0 ? now - age : now, isShared) || wasHeld
         || !m_quarantine.isHeld(record.digest, now))
         return;
--- a/src/relay/CrashGuard.h
+++ b/src/relay/CrashGuard.h
@@ -8,7 +8,7 @@
 //
 //     guard.addListener(digest, call);                     // call->requestQuarantined() may follow.
 //     guard.noteLoss(loss);
-//     switch (guard.standing(digest)) ...
+//     switch (guard.quarantineStatus(digest)) ...
 //     guard.noteHarmless(digest);
 //
 // Used on the relay's thread only. Lives for the process.
@@ -17,8 +17,8 @@
 #include "quarantine/CrashWeight.h"
 #include "quarantine/EndpointLosses.h"
 #include "quarantine/Quarantine.h"
+#include "quarantine/QuarantineStatus.h"
 #include "quarantine/ServedRequests.h"
-#include "quarantine/Standing.h"
 #include <boost/asio/steady_timer.hpp>
 #include <memory>
 
@@ -62,7 +62,7 @@
 
     // True when a new attempt of the request may be served. After a quarantine, the admitted attempt is the trial.
     bool admit(const std::string& digest) { return m_quarantine.admit(digest, m_clock.now()); }
-    Standing standing(const std::string& digest) const;
+    QuarantineStatus quarantineStatus(const std::string& digest) const;
     // Time until the quarantine ends or a trial in progress may be over; at least RelaySettings::retryAfter.
     Milliseconds heldFor(const std::string& digest) const;
     // True when any loss counts against the request, evaluated or pending.
@@ -91,7 +91,7 @@
     void scheduleEvaluation();
     void evaluate();
     void evaluate(const PendingLoss&);
-    bool wentWithOthers(const PendingLoss&) const;
+    bool isCorrelatedLoss(const PendingLoss&) const;
     double pendingWeight(const std::string& digest) const;
     std::int64_t wallClockAt(Milliseconds instant) const;
     void add(const CrashRecord&, bool isShared);
--- a/src/relay/CrashWatch.cpp
+++ b/src/relay/CrashWatch.cpp
@@ -53,7 +53,8 @@
 AttemptState CrashWatch::attemptState(unsigned possibleRuns) const
 {
     const auto& route = *m_request.route;
-    return { m_context.crashGuard.standing(m_request.digest), possibleRuns, route.maxAttempts, route.mayRunAgain() };
+    return { m_context.crashGuard.quarantineStatus(m_request.digest), possibleRuns, route.maxAttempts,
+        route.mayRunAgain() };
 }
 
 bool CrashWatch::isSuspect() const { return m_context.crashGuard.isSuspect(m_request.digest); }
--- a/src/relay/CrashWatch.h
+++ b/src/relay/CrashWatch.h
@@ -3,7 +3,7 @@
 //     CrashWatch watch(context, request);
 //     watch.begin([this] { quarantined(); });      // Called when the request is quarantined.
 //     watch.noteUnfinished(endpoint, sentAt, run); // An endpoint did not finish a run of the request.
-//     if (judgeAttempt(watch.attemptState(runs)) == AttemptVerdict::Allowed) ...  // Another attempt may be sent.
+//     if (decideAttempt(watch.attemptState(runs)) == AttemptDecision::Allowed) ...  // Another attempt may be sent.
 //     watch.end();
 //
 // Used on the relay's thread only. Owned by the request's call.
--- a/src/relay/EndpointCall.cpp
+++ b/src/relay/EndpointCall.cpp
@@ -87,7 +87,7 @@
         return;
     }
     if (isFromEndpoint && m_endpoint->noteLimit(fields.limit, m_startedAt, now))
-        m_context.permits->tell(m_endpoint->entry().startName(), m_endpoint->limitNews(now));
+        m_context.permits->reportLimit(m_endpoint->entry().startName(), m_endpoint->limitNews(now));
     if (const auto listener = m_listener.lock())
         listener->callHead(*this, head, fields);
 }
--- a/src/relay/EndpointDirectory.cpp
+++ b/src/relay/EndpointDirectory.cpp
@@ -266,7 +266,7 @@
     applyUnconfirmed(now);
     std::erase_if(m_removals, [now](const auto& entry) {
         const auto& removal = entry.second;
-        return now - removal.at > removalRetention && !removal.signals.isResting(now);
+        return now - removal.at > removalRetention && !removal.signals.isInBackOff(now);
     });
     std::vector<std::shared_ptr<RelayEndpoint>> expired;
     for (const auto& known : m_endpointsById) {
--- a/src/relay/EngineChoice.cpp
+++ b/src/relay/EngineChoice.cpp
@@ -91,7 +91,7 @@
 bool EngineChoice::isHealthy(const RelayEndpoint& engine) const
 {
     const auto now = m_context.now();
-    return !engine.isLeaving() && !engine.isAvoided(now) && !engine.isResting(now) && now >= engine.noPermitUntil()
+    return !engine.isLeaving() && !engine.isAvoided(now) && !engine.isInBackOff(now) && now >= engine.noPermitUntil()
         && !m_context.directory.isZoneAvoided(engine.entry().availabilityZone, now)
         && !m_context.directory.isSuspected(engine, now);
 }
@@ -221,7 +221,7 @@
     return std::max(m_request.admittedAt + m_context.settings.waitForEndpoint - now, Milliseconds { 0 });
 }
 
-std::optional<EndpointOpening> EngineChoice::nextOpening() const
+std::optional<EndpointAvailability> EngineChoice::nextOpening() const
 {
     return m_context.placement.nextOpening(
         { .service = m_request.service, .version = m_rollout.next() }, m_context.now());
--- a/src/relay/EngineChoice.h
+++ b/src/relay/EngineChoice.h
@@ -10,7 +10,7 @@
 // Used on the relay's thread only. Owned by the stream's call; no callback is called after its destruction.
 #pragma once
 
-#include "endpoint/EndpointOpening.h"
+#include "endpoint/EndpointAvailability.h"
 #include "relay/CallProtocol.h"
 #include <functional>
 #include <memory>
@@ -72,7 +72,7 @@
     // How long the stream can wait for a permit at a rate-limited engine.
     Milliseconds patienceForPermit(bool isFromCopy) const;
     // When the first engine accepts a request again if all are rate-limited or backing off; empty otherwise.
-    std::optional<EndpointOpening> nextOpening() const;
+    std::optional<EndpointAvailability> nextOpening() const;
 
 private:
     EngineChoice(RelayContext&, const RelayRequest&, RolloutPart&);
--- a/src/relay/EventStreamCall.cpp
+++ b/src/relay/EventStreamCall.cpp
@@ -83,28 +83,28 @@
 
 bool EventStreamCall::mayStartRun()
 {
-    auto verdict = mayRunOnceMore(m_crashWatch.attemptState(m_possibleRuns)) ? AttemptVerdict::Allowed
-                                                                             : AttemptVerdict::RunsSpent;
-    m_tookRetryForNextRun = verdict == AttemptVerdict::Allowed && m_possibleDeliveries > 0;
+    auto verdict = mayRunOnceMore(m_crashWatch.attemptState(m_possibleRuns)) ? AttemptDecision::Allowed
+                                                                             : AttemptDecision::RunsSpent;
+    m_tookRetryForNextRun = verdict == AttemptDecision::Allowed && m_possibleDeliveries > 0;
     auto& budget = m_context.retryBudget(m_request.service);
-    if (m_tookRetryForNextRun && !budget.take(RetryPurpose::Rescue, m_request.admittedAt, m_context.now()))
-        verdict = AttemptVerdict::RetriesSpent;
-    if (verdict != AttemptVerdict::Allowed)
+    if (m_tookRetryForNextRun && !budget.take(RetryPurpose::Failover, m_request.admittedAt, m_context.now()))
+        verdict = AttemptDecision::RetriesSpent;
+    if (verdict != AttemptDecision::Allowed)
         giveUp(refusalAfter(verdict, m_possibleRuns));
-    return verdict == AttemptVerdict::Allowed;
+    return verdict == AttemptDecision::Allowed;
 }
 
 bool EventStreamCall::mayBeSent()
 {
-    const auto verdict = judgeAttempt(m_crashWatch.attemptState(m_possibleRuns));
-    if (verdict == AttemptVerdict::Held)
+    const auto verdict = decideAttempt(m_crashWatch.attemptState(m_possibleRuns));
+    if (verdict == AttemptDecision::Held)
         giveUpAsHeld();
-    else if (verdict == AttemptVerdict::Undecided)
+    else if (verdict == AttemptDecision::Undecided)
         startRunLater();
-    return verdict != AttemptVerdict::Held && verdict != AttemptVerdict::Undecided;
+    return verdict != AttemptDecision::Held && verdict != AttemptDecision::Undecided;
 }
 
-void EventStreamCall::giveUpAsHeld() { giveUp(refusalAfter(AttemptVerdict::Held, m_possibleRuns)); }
+void EventStreamCall::giveUpAsHeld() { giveUp(refusalAfter(AttemptDecision::Held, m_possibleRuns)); }
 
 // A run that produces events evidently does not crash its engine, whatever other runs of the request have done.
 void EventStreamCall::requestBecameHeld()
@@ -466,10 +466,10 @@
     // A retry with the same time left would fail as well.
     if (reason == RefusalReason::TooLittleTime)
         comeBackIn = std::max(m_request.deadline - m_context.now(), m_context.settings.retryAfter);
-    if (reason == RefusalReason::HeldBack)
+    if (reason == RefusalReason::HeldInQuarantine)
         comeBackIn = m_context.crashGuard.heldFor(m_request.digest);
-    if (const auto opening = isForOpening(reason) ? m_choice->nextOpening() : std::nullopt)
-        comeBackIn = comeBackAtOpening(*opening, fractionOfName(m_request.fields.requestId), m_context.now());
+    if (const auto opening = isUnavailabilityRefusal(reason) ? m_choice->nextOpening() : std::nullopt)
+        comeBackIn = retryDelayUntilAvailable(*opening, fractionOfName(m_request.fields.requestId), m_context.now());
     m_request.exchange->respond(refusal(m_context, reason, comeBackIn));
     finish();
 }
--- a/src/relay/PermitWait.cpp
+++ b/src/relay/PermitWait.cpp
@@ -32,7 +32,7 @@
 void PermitWait::handleAnswer(const PermitAnswer& answer)
 {
     const auto now = m_context.now();
-    m_endpoint->noteLimitNews(answer.news, now);
+    m_endpoint->noteLimitNews(answer.report, now);
     LogEvent("endpoint.permit", answer.isGranted ? LogImportance::Routine : LogImportance::Notable)
         .text("endpoint", m_endpoint->entry().id)
         .flag("granted", answer.isGranted)
--- a/src/relay/Placement.cpp
+++ b/src/relay/Placement.cpp
@@ -115,19 +115,19 @@
     return endpoint.mayTakeWork(now, m_settings.leavingEndpointGrace) && isCandidate(endpoint, request);
 }
 
-std::optional<EndpointOpening> Placement::nextOpening(const PlacementRequest& request, Milliseconds now) const
+std::optional<EndpointAvailability> Placement::nextOpening(const PlacementRequest& request, Milliseconds now) const
 {
-    std::optional<EndpointOpening> next;
+    std::optional<EndpointAvailability> next;
     for (const auto& endpoint : m_directory.endpointsOf(request.service)) {
         if (endpoint->isLeaving() || !isCandidate(*endpoint, request))
             continue;
-        const bool isResting = endpoint->isResting(now);
+        const bool isInBackOff = endpoint->isInBackOff(now);
         // An endpoint that is only full or unreachable may accept a request sooner.
-        if (!isResting && !endpoint->isLimited())
+        if (!isInBackOff && !endpoint->isLimited())
             return std::nullopt;
-        const auto at = std::max({ endpoint->noPermitUntil(), endpoint->signals().restsUntil(), now });
+        const auto at = std::max({ endpoint->noPermitUntil(), endpoint->signals().backOffUntil(), now });
         if (!next || at < next->at)
-            next = EndpointOpening { at, isResting };
+            next = EndpointAvailability { at, isInBackOff };
     }
     return next;
 }
@@ -163,7 +163,7 @@
     for (const auto& endpoint : m_directory.endpointsOf(request.service)) {
         const auto& entry = endpoint->entry();
         if (entry.availabilityZone != m_settings.availabilityZone || endpoint->isLeaving() || endpoint->isAvoided(now)
-            || endpoint->isResting(now) || !request.version.admits(entry.version))
+            || endpoint->isInBackOff(now) || !request.version.admits(entry.version))
             continue;
         const auto score = XXH64(entry.id.data(), entry.id.size(), seed);
         if (!best || score > highest) {
--- a/src/relay/Placement.h
+++ b/src/relay/Placement.h
@@ -8,7 +8,7 @@
 // another VM reaches the engine that has the prompt cached.
 #pragma once
 
-#include "endpoint/EndpointOpening.h"
+#include "endpoint/EndpointAvailability.h"
 #include "lupinknot/Clock.h"
 #include "relay/EngineForecast.h"
 #include "rollout/VersionChoice.h"
@@ -59,7 +59,7 @@
         const PlacementRequest&, std::size_t count, Milliseconds now);
     // When the first endpoint accepts a request again if all candidates are backing off or rate-limited; empty when an
     // endpoint is neither, or when there is no candidate.
-    std::optional<EndpointOpening> nextOpening(const PlacementRequest&, Milliseconds now) const;
+    std::optional<EndpointAvailability> nextOpening(const PlacementRequest&, Milliseconds now) const;
     // The best of some engines that have reported their load, by forecast; null when none accepts work any more.
     std::shared_ptr<RelayEndpoint> chooseReported(
         const std::vector<std::shared_ptr<RelayEndpoint>>&, const EngineWork&, const EnginePace&, Milliseconds now);
--- a/src/relay/RelayContext.h
+++ b/src/relay/RelayContext.h
@@ -1,7 +1,7 @@
 // State and collaborators shared by all requests of the relay. Lives for the process; used on the relay's thread only.
 #pragma once
 
-#include "admission/WaitingRoom.h"
+#include "admission/WaitingRequestLimit.h"
 #include "lupinknot/Clock.h"
 #include "relay/RetryBudget.h"
 #include "relay/ServicePace.h"
@@ -45,7 +45,7 @@
     // Orders to shift a service's traffic to another version.
     Rollouts rollouts {};
     // Requests that wait for the configuration, for endpoints or for capacity.
-    WaitingRoom waitingRoom {};
+    WaitingRequestLimit waitingRequestLimit {};
 
     Milliseconds now() const { return clock.now(); }
     bool has(Policy) const;
--- a/src/relay/RelayDaemon.h
+++ b/src/relay/RelayDaemon.h
@@ -76,7 +76,7 @@
     // The port that callers connect to, also when the settings asked for any port (0).
     unsigned short frontPort() const { return m_callerServer.port(); }
     // Number of requests that wait for the configuration, for endpoints or for capacity.
-    std::size_t waitingCount() const { return m_context.waitingRoom.count(); }
+    std::size_t waitingCount() const { return m_context.waitingRequestLimit.count(); }
     // Sets the callback for a reload request (SIGHUP): the settings file may have changed.
     void onReload(std::function<void()> callback) { m_onReload = std::move(callback); }
     // Sets the callback that is called once when the shutdown begins.
--- a/src/relay/RelayEndpoint.cpp
+++ b/src/relay/RelayEndpoint.cpp
@@ -102,8 +102,8 @@
     const auto& rest = fields.rest;
     if (!rest.unreadable.empty() && !std::exchange(m_hasLoggedUnreadableRest, true))
         LogEvent("endpoint.rest-unreadable").text("endpoint", m_entry.id).text("value", rest.unreadable).write();
-    const bool wasResting = m_signals.isResting(now);
-    if (rest.time && m_signals.noteRest(*rest.time, now))
+    const bool wasResting = m_signals.isInBackOff(now);
+    if (rest.time && m_signals.noteBackOff(*rest.time, now))
         LogEvent("endpoint.rests", wasResting ? LogImportance::Routine : LogImportance::Notable)
             .text("endpoint", m_entry.id)
             .text("service", m_entry.service)
@@ -145,9 +145,9 @@
     return change != LimitChange::None;
 }
 
-void RelayEndpoint::noteLimitNews(const LimitNews& news, Milliseconds now)
+void RelayEndpoint::noteLimitNews(const LimitReport& report, Milliseconds now)
 {
-    logLimitChange(m_limit.noteNews(news.perSecond, now - news.age), "vm");
+    logLimitChange(m_limit.notePeerReport(report.perSecond, now - report.age), "vm");
 }
 
 void RelayEndpoint::logLimitChange(LimitChange change, std::string_view heardFrom) const
--- a/src/relay/RelayEndpoint.h
+++ b/src/relay/RelayEndpoint.h
@@ -5,7 +5,7 @@
 
 #include "endpoint/EndpointSignals.h"
 #include "http/ClientConnection.h"
-#include "limits/HeardLimit.h"
+#include "limits/KnownLimit.h"
 #include "limits/PermitSource.h"
 #include "relay/EndpointEntry.h"
 #include "relay/EngineReport.h"
@@ -54,15 +54,15 @@
     const EndpointSignals& signals() const { return m_signals; }
     // Applies the signals that were known of this incarnation before it was dropped.
     void restoreSignals(const EndpointSignals&, Milliseconds now);
-    bool isResting(Milliseconds now) const { return m_signals.isResting(now); }
+    bool isInBackOff(Milliseconds now) const { return m_signals.isInBackOff(now); }
 
-    const HeardLimit& limit() const { return m_limit; }
+    const KnownLimit& limit() const { return m_limit; }
     // Applies a new answer's statement about the endpoint's rate limit; sentAt is when its request was sent. Returns
     // true if other VMs should be told.
     bool noteLimit(const AnsweredLimit&, Milliseconds sentAt, Milliseconds now);
     // Applies what another VM reports of the rate limit.
-    void noteLimitNews(const LimitNews&, Milliseconds now);
-    LimitNews limitNews(Milliseconds now) const { return { m_limit.perSecond(), now - m_limit.heardAt() }; }
+    void noteLimitNews(const LimitReport&, Milliseconds now);
+    LimitReport limitNews(Milliseconds now) const { return { m_limit.perSecond(), now - m_limit.heardAt() }; }
     bool isLimited() const { return m_limit.perSecond().has_value(); }
     // While the endpoint is rate-limited, no permit is available for it before this time.
     void denyPermitsUntil(Milliseconds instant) { m_noPermitUntil = instant; }
@@ -108,7 +108,7 @@
     unsigned m_promptsBeingRead { 0 };
     std::optional<TimedReport> m_report;
     EndpointSignals m_signals;
-    HeardLimit m_limit;
+    KnownLimit m_limit;
     Milliseconds m_noPermitUntil { 0 };
     // Unreadable values are logged only once each.
     bool m_hasLoggedUnreadableLimit { false };
--- a/src/relay/RelayHandler.cpp
+++ b/src/relay/RelayHandler.cpp
@@ -98,7 +98,7 @@
         .number("config_version", static_cast<std::int64_t>(request.configurationVersion))
         .write();
     if (!m_context.crashGuard.admit(request.digest))
-        refuse(request, RefusalReason::HeldBack);
+        refuse(request, RefusalReason::HeldInQuarantine);
     else if (isStream)
         EventStreamCall::serve(m_context, std::move(request));
     else
@@ -143,7 +143,7 @@
         .number("config_version", static_cast<std::int64_t>(request.configurationVersion))
         .write();
     std::optional<Milliseconds> comeBackIn;
-    if (reason == RefusalReason::HeldBack)
+    if (reason == RefusalReason::HeldInQuarantine)
         comeBackIn = m_context.crashGuard.heldFor(request.digest);
     request.exchange->respond(refusal(m_context, reason, comeBackIn));
 }
--- a/src/relay/RunMover.cpp
+++ b/src/relay/RunMover.cpp
@@ -57,7 +57,7 @@
 {
     const auto* service = m_context.configuration->findService(m_request.service);
     const bool isPossible
-        = service && service->copiesRunningMemory && m_request.route->mayRunAgain() && !run.endpoint->isResting(now);
+        = service && service->copiesRunningMemory && m_request.route->mayRunAgain() && !run.endpoint->isInBackOff(now);
     // A run at a candidate version is not sent to that version again, and its KV cache cannot move to another version.
     const bool isVersionAllowed = m_rollout.next().admits(run.endpoint->entry().version);
     return isPossible && isVersionAllowed && outlook.leavesAttempt && run.hasEvent
@@ -83,7 +83,7 @@
                                                        .limited = LimitedEndpoints::LeftOut },
         now);
     auto& budget = m_context.retryBudget(m_request.service);
-    if (!target || !budget.take(RetryPurpose::Precaution, m_request.admittedAt, now))
+    if (!target || !budget.take(RetryPurpose::Proactive, m_request.admittedAt, now))
         return;
     LogEvent("stream.relocating")
         .text("request", m_request.fields.requestId)
--- a/src/relay/RunRelocation.cpp
+++ b/src/relay/RunRelocation.cpp
@@ -45,7 +45,7 @@
     const auto moved = outcome.answer ? m_context.protocol.decodeMoveRun(*outcome.answer) : MoveRunAnswer {};
     if (!m_isStopping) {
         // The run also stays at the source when the source has asked for backoff in the meantime.
-        if (!moved.isCopied || m_source->isResting(m_context.now())) {
+        if (!moved.isCopied || m_source->isInBackOff(m_context.now())) {
             finish(RelocationResult::Refused, "");
             return;
         }
--- a/src/relay/RunWatch.cpp
+++ b/src/relay/RunWatch.cpp
@@ -71,7 +71,7 @@
     }
     // Events of other streams also show that the engine is alive.
     const auto silence = now - std::max(m_run->lastActivity, m_run->endpoint->lastLife());
-    const bool mayProbe = m_context.has(Policy::LivenessQuestions) && !m_run->endpoint->isResting(now);
+    const bool mayProbe = m_context.has(Policy::LivenessQuestions) && !m_run->endpoint->isInBackOff(now);
     if (mayProbe && silence >= silenceBeforeQuestion(now) && now >= m_nextProbeAt && !m_probe)
         sendProbe();
     m_callbacks.onChecked();
--- a/src/relay/StreamPace.cpp
+++ b/src/relay/StreamPace.cpp
@@ -64,13 +64,13 @@
 {
     auto& pace = m_context.pace(m_request.service);
     pace.showsBeginnings = pace.showsBeginnings || (run.headReceivedAt && !run.hasEvent);
-    const auto withoutHead = pace.showsBeginnings ? RunBeginning::NotYet : RunBeginning::Hidden;
-    const auto withHead = pace.sendsHeadsEarly() ? RunBeginning::Hidden : RunBeginning::Begun;
+    const auto withoutHead = pace.showsBeginnings ? RunStart::NotYet : RunStart::Hidden;
+    const auto withHead = pace.sendsHeadsEarly() ? RunStart::Hidden : RunStart::Begun;
     const auto withoutEvent = run.headReceivedAt ? withHead : withoutHead;
     const auto since = run.firstEventAt.value_or(run.headReceivedAt.value_or(run.startedAt));
     // A broken connection shows that the engine was alive until then; silence does not.
     const auto lastSign = kind == FailureKind::Silent ? std::max(since, run.lastActivity) : now;
-    return { kind, run.hasEvent ? RunBeginning::Producing : withoutEvent, lastSign - since };
+    return { kind, run.hasEvent ? RunStart::Producing : withoutEvent, lastSign - since };
 }
 
 // Only the first attempt from the start of a stream shows how fast engines process prompts; for others the engine may
--- a/src/relay/WholeAnswerCall.cpp
+++ b/src/relay/WholeAnswerCall.cpp
@@ -171,7 +171,7 @@
     // Do not risk a second endpoint with a request that may have crashed the earlier ones.
     if (!hasOpenAttempt() || m_possibleRuns >= m_request.route->maxAttempts || m_crashWatch.isSuspect())
         return;
-    if (!m_context.retryBudget(m_request.service).take(RetryPurpose::Precaution, m_request.admittedAt, m_context.now()))
+    if (!m_context.retryBudget(m_request.service).take(RetryPurpose::Proactive, m_request.admittedAt, m_context.now()))
         return;
     // A hedge is only a precaution, so it is not sent to a rate-limited endpoint.
     auto placementRequest = anyEndpoint();
@@ -280,8 +280,7 @@
             m_context.retryBudget(m_request.service).giveBack();
     } else {
         m_rollout.noteAnswer(*endpoint, AnswerQuality::Bad);
-        m_crashWatch.noteUnfinished(
-            endpoint, call.startedAt(), { kind, RunBeginning::Assumed, now - call.startedAt() });
+        m_crashWatch.noteUnfinished(endpoint, call.startedAt(), { kind, RunStart::Assumed, now - call.startedAt() });
         endpoint->avoidUntil(now + settings.avoidAfterBreak);
     }
     recover(wasSent ? RefusalReason::EndpointFailed : RefusalReason::NoEndpoint);
@@ -292,22 +291,22 @@
 {
     if (m_permit)
         return;
-    auto verdict = judgeAttempt(m_crashWatch.attemptState(m_possibleRuns));
-    if (verdict == AttemptVerdict::Held) {
+    auto verdict = decideAttempt(m_crashWatch.attemptState(m_possibleRuns));
+    if (verdict == AttemptDecision::Held) {
         refuse(refusalAfter(verdict, m_possibleRuns));
         return;
     }
-    if (verdict == AttemptVerdict::Undecided) {
+    if (verdict == AttemptDecision::Undecided) {
         recoverLater(lastReason);
         return;
     }
     auto& budget = m_context.retryBudget(m_request.service);
     const bool isRetry = mayHaveArrived();
-    if (verdict == AttemptVerdict::Allowed && isRetry
-        && !budget.take(purposeAfter(lastReason), m_request.admittedAt, m_context.now()))
-        verdict = AttemptVerdict::RetriesSpent;
+    if (verdict == AttemptDecision::Allowed && isRetry
+        && !budget.take(retryPurposeAfter(lastReason), m_request.admittedAt, m_context.now()))
+        verdict = AttemptDecision::RetriesSpent;
     // Endpoints that are known to be full or unreachable are not tried one after another; the call waits instead.
-    if (verdict == AttemptVerdict::Allowed) {
+    if (verdict == AttemptDecision::Allowed) {
         if (sendNext(mayWait() ? healthyEndpoint() : anyEndpoint(), isRetry))
             return;
         if (isRetry)
@@ -321,7 +320,7 @@
     } else if (m_possibleRuns > 0) {
         refuse(RefusalReason::EndpointFailed);
     } else {
-        waitForCapacity(verdict == AttemptVerdict::RetriesSpent ? RefusalReason::RetryBudgetSpent : lastReason);
+        waitForCapacity(verdict == AttemptDecision::RetriesSpent ? RefusalReason::RetryBudgetSpent : lastReason);
     }
 }
 
@@ -335,7 +334,7 @@
     });
 }
 
-void WholeAnswerCall::refuseAsHeld() { refuse(refusalAfter(AttemptVerdict::Held, m_possibleRuns)); }
+void WholeAnswerCall::refuseAsHeld() { refuse(refusalAfter(AttemptDecision::Held, m_possibleRuns)); }
 
 bool WholeAnswerCall::mayWait() const
 {
@@ -365,7 +364,8 @@
     const auto state = unplaced(lastReason);
     const auto decision = waitOrRefuse(state, now);
     const auto reason = decision.reason;
-    m_isWaiting = mayWait() && decision.waits && m_context.waitingRoom.enter(m_request.exchange->request().body.size());
+    m_isWaiting
+        = mayWait() && decision.waits && m_context.waitingRequestLimit.enter(m_request.exchange->request().body.size());
     if (!m_isWaiting) {
         refuse(reason);
         return;
@@ -376,7 +376,7 @@
         .number("pause_ms", decision.pause.count())
         .number("usual_call_ms", state.usualCallTime.count())
         .number("time_left_ms", (m_request.deadline - now).count())
-        .number("waiting", static_cast<std::int64_t>(m_context.waitingRoom.count()))
+        .number("waiting", static_cast<std::int64_t>(m_context.waitingRequestLimit.count()))
         .write();
     ++m_waits;
     m_waitTimer.expires_after(decision.pause);
@@ -390,7 +390,7 @@
 void WholeAnswerCall::leaveWaitingRoom()
 {
     if (std::exchange(m_isWaiting, false))
-        m_context.waitingRoom.leave(m_request.exchange->request().body.size());
+        m_context.waitingRequestLimit.leave(m_request.exchange->request().body.size());
 }
 
 void WholeAnswerCall::retryAfterWait(RefusalReason lastReason)
@@ -399,7 +399,7 @@
     m_triedEndpoints.clear();
     auto& budget = m_context.retryBudget(m_request.service);
     const bool isRetry = mayHaveArrived();
-    if (isRetry && !budget.take(purposeAfter(lastReason), m_request.admittedAt, m_context.now())) {
+    if (isRetry && !budget.take(retryPurposeAfter(lastReason), m_request.admittedAt, m_context.now())) {
         waitForCapacity(RefusalReason::RetryBudgetSpent);
         return;
     }
@@ -460,8 +460,8 @@
         .number("took_ms", (now - m_request.admittedAt).count())
         .write();
     m_context.metrics.countRequest(m_request.route->kind, traits.status, now - m_request.admittedAt);
-    const auto comeBackIn = reason == RefusalReason::HeldBack ? m_context.crashGuard.heldFor(m_request.digest)
-                                                              : comeBackAfter(unplaced(reason), now);
+    const auto comeBackIn = reason == RefusalReason::HeldInQuarantine ? m_context.crashGuard.heldFor(m_request.digest)
+                                                                      : retryDelayAfterRefusal(unplaced(reason), now);
     m_request.exchange->respond(refusal(m_context, reason, comeBackIn));
     finish();
 }
--- a/src/relay/WholeAnswerCall.h
+++ b/src/relay/WholeAnswerCall.h
@@ -6,8 +6,8 @@
 //
 // A call that must not run twice is sent again only if the first attempt provably did not run.
 //
-// A call that no endpoint has accepted waits for capacity; admission/WaitForPlace decides how long. Used on the relay's
-// thread only. Owned by its pending timers and the exchange's callback.
+// A call that no endpoint has accepted waits for capacity; admission/WaitForCapacity decides how long. Used on the
+// relay's thread only. Owned by its pending timers and the exchange's callback.
 #pragma once
 
 #include "relay/CrashWatch.h"
--- a/test/EndpointRestTest.cpp
+++ b/test/EndpointRestTest.cpp
@@ -220,7 +220,7 @@
     ready();
     callAndWait("/once/1");
     const auto known = relay->daemon().directory().find("e1");
-    CHECK_FALSE(known->isResting(relay->daemon().clock().now()));
+    CHECK_FALSE(known->isInBackOff(relay->daemon().clock().now()));
     CHECK_FALSE(known->isLeaving());
 }
 
--- a/test/PeerPermitsTest.cpp
+++ b/test/PeerPermitsTest.cpp
@@ -145,7 +145,7 @@
     // Ensures that the report without a limit is newer than the last one with a limit.
     const auto later = clock.now() + Milliseconds { 5 };
     CHECK(runUntil(*ioContext, [&] { return clock.now() > later; }));
-    vms[2]->permits->tell("e1", { std::nullopt, Milliseconds { 0 } });
+    vms[2]->permits->reportLimit("e1", { std::nullopt, Milliseconds { 0 } });
     std::optional<PermitAnswer> got;
     CHECK(runUntil(*ioContext, [&] {
         if (!got || !got->isGranted) {
@@ -155,7 +155,7 @@
         }
         return true;
     }));
-    CHECK_FALSE(got->news.perSecond.has_value());
+    CHECK_FALSE(got->report.perSecond.has_value());
 }
 
 TEST(PeerPermits, RefusesInvalidRequestsAndReports)
--- a/test/RetryBudgetTest.cpp
+++ b/test/RetryBudgetTest.cpp
@@ -26,12 +26,12 @@
     }
 
     // Takes a retry for a request that arrived before the window.
-    bool take(RetryBudget & budget, RetryPurpose purpose = RetryPurpose::Rescue)
+    bool take(RetryBudget & budget, RetryPurpose purpose = RetryPurpose::Failover)
     {
         return budget.take(purpose, now - settings.retryWindow - Milliseconds { 1 }, now);
     }
 
-    int takeAll(RetryBudget & budget, RetryPurpose purpose = RetryPurpose::Rescue)
+    int takeAll(RetryBudget & budget, RetryPurpose purpose = RetryPurpose::Failover)
     {
         int taken = 0;
         while (taken < 1000 && take(budget, purpose))
@@ -69,8 +69,8 @@
     RetryBudget budget(settings);
     for (int i = 0; i < 16; ++i)
         budget.noteRequest(now);
-    LONGS_EQUAL(6, takeAll(budget, RetryPurpose::Precaution));
-    LONGS_EQUAL(4, takeAll(budget, RetryPurpose::Rescue));
+    LONGS_EQUAL(6, takeAll(budget, RetryPurpose::Proactive));
+    LONGS_EQUAL(4, takeAll(budget, RetryPurpose::Failover));
 }
 
 TEST(RetryBudget, RescuesDoNotExceedThePart)
@@ -125,7 +125,7 @@
     for (int i = 0; i < 5; ++i)
         budget.noteRequest(now);
     int taken = 0;
-    while (taken < 100 && budget.take(RetryPurpose::Rescue, now, now))
+    while (taken < 100 && budget.take(RetryPurpose::Failover, now, now))
         ++taken;
     LONGS_EQUAL_TEXT(6, taken, "four for the other requests and two of the fixed number");
 }
@@ -178,7 +178,7 @@
                 ++requests.back();
             }
             // Every waiting call retries as often as it may.
-            retries.back() += take(vm, RetryPurpose::FullService) ? 1 : 0;
+            retries.back() += take(vm, RetryPurpose::AfterRejection) ? 1 : 0;
         }
         now += Milliseconds { 100 };
     }
--- a/test/StoreCrashReportsTest.cpp
+++ b/test/StoreCrashReportsTest.cpp
@@ -85,7 +85,7 @@
             vm.reports.publish(record(i));
     }
 
-    bool isQuarantinedAt(const Vm& vm) const { return vm.guard.standing(digest) == Standing::Held; }
+    bool isQuarantinedAt(const Vm& vm) const { return vm.guard.quarantineStatus(digest) == QuarantineStatus::Held; }
 };
 
 TEST(StoreCrashReports, RecordsOfSeveralVmsQuarantineARequestAtAllOfThem)
@@ -214,7 +214,7 @@
     other->reports.sweep();
     CHECK_TEXT(store->value("crashes", digest + "/e1"), "the record has not expired");
     CHECK(runUntil([&] { return other->guard.isSuspect(digest); }));
-    other->clock.advance(2 * Quarantine::recordTime);
+    other->clock.advance(2 * Quarantine::recordLifetime);
     other->reports.sweep();
     CHECK(runUntil([&] { return !store->value("crashes", digest + "/e1"); }));
 }
--- a/test/WaitForPlaceTest.cpp
+++ b/test/WaitForPlaceTest.cpp
@@ -1,5 +1,5 @@
-#include "admission/WaitForPlace.h"
-#include "admission/WaitingRoom.h"
+#include "admission/WaitForCapacity.h"
+#include "admission/WaitingRequestLimit.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -25,7 +25,7 @@
 // How a VM treats a call that finds no capacity.
 enum class Policy {
     RefuseAtOnce, // Tells the caller to retry after 250 ms, whatever the cause.
-    WaitForPlace,
+    WaitForCapacity,
 };
 
 // A caller with one retry.
@@ -60,14 +60,14 @@
         }
         now += attemptTime;
         const WaitingCall call { caller.arrivedAt, caller.deadline, caller.rounds };
-        const auto decision = waitForPlace(call, usualCallTime, spread(random), now);
-        if (policy == Policy::WaitForPlace && decision.waits) {
+        const auto decision = waitForCapacity(call, usualCallTime, spread(random), now);
+        if (policy == Policy::WaitForCapacity && decision.waits) {
             ++caller.rounds;
             events.push({ now + decision.pause, caller });
             continue;
         }
         outcome.longestWait = std::max(outcome.longestWait, now - caller.arrivedAt);
-        const auto pause = policy == Policy::WaitForPlace
+        const auto pause = policy == Policy::WaitForCapacity
             ? callerRetryDelay(obstacle, caller.deadline - now, spread(random))
             : Milliseconds { 250 };
         if (caller.hasRetried || now + pause >= caller.deadline) {
@@ -94,28 +94,28 @@
 
 } // namespace
 
-TEST_GROUP(WaitForPlace) {};
+TEST_GROUP(WaitForCapacity) {};
 
-TEST(WaitForPlace, PauseDoublesAndWaitEndsAtHalfOfTheTime)
+TEST(WaitForCapacity, PauseDoublesAndWaitEndsAtHalfOfTheTime)
 {
     WaitingCall call { Milliseconds { 0 }, Milliseconds { 1000 }, 0 };
-    LONGS_EQUAL(60, waitForPlace(call, usualCallTime, 0.5, Milliseconds { 10 }).pause.count());
+    LONGS_EQUAL(60, waitForCapacity(call, usualCallTime, 0.5, Milliseconds { 10 }).pause.count());
     call.rounds = 2;
-    LONGS_EQUAL(240, waitForPlace(call, usualCallTime, 0.5, Milliseconds { 10 }).pause.count());
+    LONGS_EQUAL(240, waitForCapacity(call, usualCallTime, 0.5, Milliseconds { 10 }).pause.count());
     call.rounds = 40;
-    LONGS_EQUAL(maxPause.count(), waitForPlace(call, usualCallTime, 0.5, Milliseconds { 10 }).pause.count());
-    CHECK(waitForPlace(call, usualCallTime, 0.5, Milliseconds { 100 }).waits);
-    CHECK_FALSE_TEXT(waitForPlace(call, usualCallTime, 0.5, Milliseconds { 101 }).waits,
+    LONGS_EQUAL(maxPause.count(), waitForCapacity(call, usualCallTime, 0.5, Milliseconds { 10 }).pause.count());
+    CHECK(waitForCapacity(call, usualCallTime, 0.5, Milliseconds { 100 }).waits);
+    CHECK_FALSE_TEXT(waitForCapacity(call, usualCallTime, 0.5, Milliseconds { 101 }).waits,
         "the other half of its time is reserved for a retry elsewhere");
 }
 
-TEST(WaitForPlace, RefusesAtOnceCallThatCannotEndInTime)
+TEST(WaitForCapacity, RefusesAtOnceCallThatCannotEndInTime)
 {
     const WaitingCall call { Milliseconds { 0 }, Milliseconds { 1000 }, 0 };
-    CHECK_FALSE(waitForPlace(call, Milliseconds { 980 }, 0.5, Milliseconds { 0 }).waits);
+    CHECK_FALSE(waitForCapacity(call, Milliseconds { 980 }, 0.5, Milliseconds { 0 }).waits);
 }
 
-TEST(WaitForPlace, RetryDelayFitsTheRemainingTimeOfTheCaller)
+TEST(WaitForCapacity, RetryDelayFitsTheRemainingTimeOfTheCaller)
 {
     LONGS_EQUAL(250, callerRetryDelay(CapacityObstacle::Full, Milliseconds { 4000 }, 0.5).count());
     LONGS_EQUAL(100, callerRetryDelay(CapacityObstacle::Full, Milliseconds { 300 }, 0.5).count());
@@ -125,7 +125,7 @@
 
 // A zone is cut off for five seconds while 300 callers arrive. The first call of a VM tries four endpoints for 80 ms
 // each, later calls one.
-TEST(WaitForPlace, ZoneCutReplayServesMostCallers)
+TEST(WaitForCapacity, ZoneCutReplayServesMostCallers)
 {
     constexpr Milliseconds cut { 5000 };
     const auto arrivals = arrivalsWithin(cut, 300);
@@ -133,14 +133,14 @@
     const auto before
         = replay(Policy::RefuseAtOnce, CapacityObstacle::Unreachable, Milliseconds { 320 }, arrivals, isOver);
     const auto after
-        = replay(Policy::WaitForPlace, CapacityObstacle::Unreachable, Milliseconds { 80 }, arrivals, isOver);
+        = replay(Policy::WaitForCapacity, CapacityObstacle::Unreachable, Milliseconds { 80 }, arrivals, isOver);
     CHECK_TEXT(before.lost > 230, "refusing at once should lose most callers of this load");
     CHECK_TEXT(after.lost < 130, "waiting should serve three in five of the callers");
     CHECK_TEXT(after.longestWait <= Milliseconds { 2080 }, "no caller should wait for more than half of its time");
 }
 
 // A service with 36 slots and 60 ms a call returns after an outage: the calls of 0.6 s arrive at once.
-TEST(WaitForPlace, ServiceRecoveryReplayLosesNoCaller)
+TEST(WaitForCapacity, ServiceRecoveryReplayLosesNoCaller)
 {
     auto arrivals = arrivalsWithin(Milliseconds { 2000 }, 500);
     for (int i = 0; i < 140; ++i)
@@ -156,33 +156,33 @@
         });
     };
     CHECK_TEXT(run(Policy::RefuseAtOnce).lost > 0, "refusing at once should lose some callers of this load");
-    LONGS_EQUAL(0, run(Policy::WaitForPlace).lost);
+    LONGS_EQUAL(0, run(Policy::WaitForCapacity).lost);
 }
 
-TEST_GROUP(WaitingRoom) {};
+TEST_GROUP(WaitingRequestLimit) {};
 
-TEST(WaitingRoom, EnforcesCountAndSizeBounds)
+TEST(WaitingRequestLimit, EnforcesCountAndSizeBounds)
 {
-    WaitingRoom room;
-    CHECK(room.enter(WaitingRoom::maxBytes));
+    WaitingRequestLimit room;
+    CHECK(room.enter(WaitingRequestLimit::maxBytes));
     CHECK_FALSE_TEXT(room.enter(1), "request bodies must not use the memory that the VM needs");
-    room.leave(WaitingRoom::maxBytes);
-    for (std::size_t i = 0; i < WaitingRoom::maxRequests; ++i)
+    room.leave(WaitingRequestLimit::maxBytes);
+    for (std::size_t i = 0; i < WaitingRequestLimit::maxRequests; ++i)
         CHECK(room.enter(1));
     CHECK_FALSE(room.enter(1));
     room.leave(1);
     CHECK(room.enter(1));
 }
 
-TEST(WaitForPlace, WaitsForLimitedEndpointOnlyIfAvailableInTime)
+TEST(WaitForCapacity, WaitsForLimitedEndpointOnlyIfAvailableInTime)
 {
     const WaitingCall call { Milliseconds { 0 }, Milliseconds { 1500 }, 0 };
     const Milliseconds usualCallTime { 50 };
-    const auto soon = waitForOpening(call, Milliseconds { 600 }, usualCallTime, 0, Milliseconds { 100 });
+    const auto soon = waitForAvailability(call, Milliseconds { 600 }, usualCallTime, 0, Milliseconds { 100 });
     CHECK(soon.waits);
     LONGS_EQUAL(600, soon.pause.count());
-    CHECK_FALSE(waitForOpening(call, Milliseconds { 700 }, usualCallTime, 0, Milliseconds { 100 }).waits);
+    CHECK_FALSE(waitForAvailability(call, Milliseconds { 700 }, usualCallTime, 0, Milliseconds { 100 }).waits);
     LONGS_EQUAL_TEXT(minPause.count(),
-        waitForOpening(call, Milliseconds { 0 }, usualCallTime, 0, Milliseconds { 100 }).pause.count(),
+        waitForAvailability(call, Milliseconds { 0 }, usualCallTime, 0, Milliseconds { 100 }).pause.count(),
         "a request that missed its slot should not retry in a tight loop");
 }
