--- a/include/lupinknot/EndpointPulse.h
+++ b/include/lupinknot/EndpointLiveness.h
@@ -12,7 +12,7 @@
 
 namespace lupinknot {
 
-struct PulseSettings {
+struct LivenessSettings {
     DetectorKind detector { DetectorKind::Maximum };
     SilenceBounds bounds;
     // How long one stream may be silent while other streams on the endpoint continue.
@@ -30,23 +30,23 @@
     bool hasToken { false };
 };
 
-enum class PulseVerdict {
+enum class LivenessVerdict {
     Alive,
     EndpointSilent,
     StreamSilent,
 };
 
 // Thread-safe, protected by its own lock. Shared by the streams on one endpoint.
-class EndpointPulse {
+class EndpointLiveness {
 public:
-    explicit EndpointPulse(const PulseSettings&);
+    explicit EndpointLiveness(const LivenessSettings&);
 
     // Records a token. The gap is the time since the previous token of the same stream, if there was one.
     void tokenSeen(Milliseconds now, std::optional<Milliseconds> gap);
-    PulseVerdict verdict(Milliseconds now, const StreamActivity&) const;
+    LivenessVerdict verdict(Milliseconds now, const StreamActivity&) const;
     // The earliest instant at which the verdict can differ from Alive if no further token arrives.
     Milliseconds nextCheck(const StreamActivity&) const;
-    Milliseconds patience() const;
+    Milliseconds silenceTimeout() const;
 
 private:
     // The instants at which the silence of the endpoint and that of the stream become too long.
@@ -56,7 +56,7 @@
     };
     Deadlines deadlinesOf(const StreamActivity&) const;
 
-    const PulseSettings m_settings;
+    const LivenessSettings m_settings;
     mutable std::mutex m_mutex;
     std::unique_ptr<SilenceDetector> m_detector;
     Milliseconds m_lastToken { 0 };
--- a/include/lupinknot/SilenceDetector.h
+++ b/include/lupinknot/SilenceDetector.h
@@ -29,14 +29,14 @@
     Milliseconds ceiling { 1500 };
 };
 
-// Not thread-safe: the lock of EndpointPulse protects it.
+// Not thread-safe: the lock of EndpointLiveness protects it.
 class SilenceDetector {
 public:
     virtual ~SilenceDetector() = default;
     // Adds the gap between two tokens of one stream.
     virtual void observe(Milliseconds gap) = 0;
     // The silence timeout, within the bounds.
-    virtual Milliseconds patience() const = 0;
+    virtual Milliseconds silenceTimeout() const = 0;
 };
 
 // Creates a detector of a kind. The fixed detector always returns the lower bound.
--- a/src/core/SilenceDetector.cpp
+++ b/src/core/SilenceDetector.cpp
@@ -43,7 +43,7 @@
     {
     }
     void observe(Milliseconds) override { }
-    Milliseconds patience() const override { return m_bounds.floor; }
+    Milliseconds silenceTimeout() const override { return m_bounds.floor; }
 
 private:
     SilenceBounds m_bounds;
@@ -69,7 +69,7 @@
         m_silenceTimeout = std::clamp(estimate(m_window.gaps()), m_bounds.floor, m_bounds.ceiling);
     }
 
-    Milliseconds patience() const override { return m_silenceTimeout; }
+    Milliseconds silenceTimeout() const override { return m_silenceTimeout; }
 
 protected:
     virtual Milliseconds estimate(const std::vector<std::int64_t>& gaps) const = 0;
--- a/src/daemon/EndpointTable.cpp
+++ b/src/daemon/EndpointTable.cpp
@@ -20,7 +20,7 @@
     , m_zone(settings.vm.zone)
 {
     for (const auto& endpoint : settings.endpoints) {
-        auto state = std::make_shared<EndpointState>(endpoint, settings.silence.pulse(), settings.ejection);
+        auto state = std::make_shared<EndpointState>(endpoint, settings.silence.liveness(), settings.ejection);
         m_endpoints.push_back(state);
         m_byName.emplace(endpoint.name, state);
         for (const auto& model : endpoint.models)
--- a/src/daemon/LiveGeneration.cpp
+++ b/src/daemon/LiveGeneration.cpp
@@ -99,7 +99,7 @@
     m_graceTimer.cancel();
     const bool wasOver = m_driver.isOver();
     const auto now = m_context.clock.now();
-    m_driver.revive(now, now + m_request.timeLimit);
+    m_driver.resumeAbandoned(now, now + m_request.timeLimit);
     if (wasOver && !m_driver.isOver()) {
         logInfo(LogPart::Caller,
             "generation " + m_id + " goes on at position " + std::to_string(m_driver.generation().length())
@@ -184,7 +184,7 @@
         return;
     }
     m_endpoint = endpoint;
-    m_driver.startAttached({ attempt->endpoint, endpoint->pulse() }, now);
+    m_driver.startAttached({ attempt->endpoint, endpoint->liveness() }, now);
 }
 
 std::size_t LiveGeneration::visibleLength() const
@@ -347,7 +347,7 @@
     if (!endpoint)
         return std::nullopt;
     m_endpoint = endpoint;
-    return EndpointChoice { endpoint->settings().name, endpoint->pulse() };
+    return EndpointChoice { endpoint->settings().name, endpoint->liveness() };
 }
 
 void LiveGeneration::startAttempt(const AttemptOrder& order)
--- a/src/relay/EngineChoice.cpp
+++ b/src/relay/EngineChoice.cpp
@@ -201,7 +201,7 @@
     const PlacementRequest wanted { .service = m_request.service,
         .excluded = m_failed,
         .zonesToAvoid = { engine.entry().availabilityZone },
-        .version = m_rollout.forCopies(engine),
+        .version = m_rollout.choiceForCopies(engine),
         .mustBeSound = true,
         .limited = LimitedEndpoints::Unrestricted };
     return m_context.placement.choose(wanted, m_context.now());
--- a/src/relay/RolloutPart.cpp
+++ b/src/relay/RolloutPart.cpp
@@ -38,17 +38,17 @@
         return {};
     if (!m_hasSent && m_firstChoice)
         return *m_firstChoice;
-    const auto proven = rollout->proven(m_context.now());
+    const auto provenChoice = rollout->provenChoice(m_context.now());
     if (m_hasSent)
-        return hasRunner(proven) ? proven : VersionChoice {};
+        return hasRunner(provenChoice) ? provenChoice : VersionChoice {};
     const VersionChoice candidate { VersionChoice::Rule::Only, rollout->order().candidate };
-    const auto choice = hasRunner(candidate) ? rollout->choose(m_context.now()) : proven;
+    const auto choice = hasRunner(candidate) ? rollout->choose(m_context.now()) : provenChoice;
     // When no runner of the chosen version is left, any version serves the caller.
     m_firstChoice = hasRunner(choice) ? choice : VersionChoice {};
     return *m_firstChoice;
 }
 
-VersionChoice RolloutPart::forCopies(const RelayEndpoint& engine) const
+VersionChoice RolloutPart::choiceForCopies(const RelayEndpoint& engine) const
 {
     const auto* const rollout = m_context.rollouts.find(m_request.service);
     if (!rollout)
@@ -56,7 +56,7 @@
     const auto& candidate = rollout->order().candidate;
     if (engine.entry().version == candidate)
         return { VersionChoice::Rule::Only, candidate };
-    const auto choice = rollout->forCopies(m_context.now());
+    const auto choice = rollout->choiceForCopies(m_context.now());
     return hasRunner(choice) ? choice : VersionChoice {};
 }
 
--- a/src/relay/RolloutPart.h
+++ b/src/relay/RolloutPart.h
@@ -27,7 +27,7 @@
     // Runners for the next send. Only the first send may go to the candidate version; retries and hedges may not.
     VersionChoice next();
     // Runners that may hold a copy of a run that the engine executes.
-    VersionChoice forCopies(const RelayEndpoint& engine) const;
+    VersionChoice choiceForCopies(const RelayEndpoint& engine) const;
     void noteSent() { m_hasSent = true; }
     void noteAnswer(const RelayEndpoint&, AnswerQuality) const;
     // Rates an answer by its latency, for answers whose usual latency is known.
--- a/src/rollout/Rollout.h
+++ b/src/rollout/Rollout.h
@@ -2,14 +2,14 @@
 // this VM has been told.
 //
 // While an order is undecided, a VM sends some requests to the candidate (ExposureBudget), but only while an aggregator
-// of the evidence (RolloutGatherer) has recently permitted it. A VM that is cut off sends none, so that none arrives
+// of the evidence (RolloutAggregator) has recently permitted it. A VM that is cut off sends none, so that none arrives
 // long after the other VMs know better. A verdict of an aggregator or the store against the candidate is final.
 //
 //     Rollout rollout(order, { limit, slackShare, vmName });
 //     rollout.noteRequest();
 //     const auto choice = rollout.choose(now);                 // For each request, before it is first sent.
 //     rollout.noteAnswer(route, RunnerVersion::Candidate, AnswerQuality::Good);
-//     rollout.hear(directive, now);                  // An aggregator's answer to this VM's evidence.
+//     rollout.applyDirective(directive, now);                  // An aggregator's answer to this VM's evidence.
 //     rollout.decide(RolloutDecision::Completed, now);         // The decision recorded in the store.
 //
 // Used on the relay's thread only.
@@ -23,20 +23,20 @@
 namespace lupinknot::internal {
 
 // What an aggregator tells the VMs to do about an order.
-enum class GathererWord {
+enum class RolloutDirective {
     Try, // The evidence is inconclusive: a bounded part of the requests may go to the candidate.
     Ready, // The candidate is good and about to be completed: copies of runs should be placed on it.
     Stop, // The candidate is bad: no request may go to it any more.
 };
 
-inline constexpr std::array<EnumName<GathererWord>, 3> gathererWordNames { {
-    { GathererWord::Try, "try" },
-    { GathererWord::Ready, "ready" },
-    { GathererWord::Stop, "stop" },
+inline constexpr std::array<EnumName<RolloutDirective>, 3> rolloutDirectiveNames { {
+    { RolloutDirective::Try, "try" },
+    { RolloutDirective::Ready, "ready" },
+    { RolloutDirective::Stop, "stop" },
 } };
 
 // The limits with which a VM takes part.
-struct RolloutTerms {
+struct RolloutParameters {
     ExposureLimit limit;
     double slackShare { 0 };
     std::string vmName;
@@ -44,11 +44,11 @@
 
 class Rollout {
 public:
-    Rollout(RolloutOrder, const RolloutTerms&);
+    Rollout(RolloutOrder, const RolloutParameters&);
 
     const RolloutOrder& order() const { return m_order; }
     // Takes the position of an order that was written again after its store had lost it.
-    void moveTo(const HistoryPosition&);
+    void setPosition(const HistoryPosition&);
     RolloutDecision decision() const { return m_decision; }
     bool isStopped() const { return m_isStopped; }
     const VersionEvidence& evidence() const { return m_evidence; }
@@ -59,12 +59,12 @@
     VersionChoice choose(Milliseconds now);
     // The same for a request that continues after a failure, or for any other that must not go to an undecided
     // candidate.
-    VersionChoice proven(Milliseconds now) const;
+    VersionChoice provenChoice(Milliseconds now) const;
     // Which runners copies of runs should be placed on.
-    VersionChoice forCopies(Milliseconds now) const;
+    VersionChoice choiceForCopies(Milliseconds now) const;
     void noteAnswer(const std::string& route, RunnerVersion, AnswerQuality);
 
-    void hear(GathererWord, Milliseconds now);
+    void applyDirective(RolloutDirective, Milliseconds now);
     // Only the first decision counts.
     void decide(RolloutDecision, Milliseconds now);
 
--- a/src/rollout/RolloutGatherer.h
+++ b/src/rollout/RolloutAggregator.h
@@ -6,10 +6,10 @@
 // on condition that the store holds none. The rollout therefore does not depend on an aggregator that dies, pauses or
 // is cut off, or on agreement between the aggregators.
 //
-//     RolloutGatherer aggregator(order, now);
-//     aggregator.take("vm-1/17", evidence, isStopped);    // What a process of a VM has counted since its start.
-//     answer(aggregator.word(now));
-//     if (const auto decision = aggregator.wanted(now)) ...  // Write it.
+//     RolloutAggregator aggregator(order, now);
+//     aggregator.addReport("vm-1/17", evidence, isStopped);    // What a process of a VM has counted since its start.
+//     answer(aggregator.directive(now));
+//     if (const auto decision = aggregator.dueDecision(now)) ...  // Write it.
 //
 // Used on the relay's thread only; lives as long as the order.
 #pragma once
@@ -20,16 +20,16 @@
 
 namespace lupinknot::internal {
 
-class RolloutGatherer {
+class RolloutAggregator {
 public:
-    RolloutGatherer(const RolloutOrder&, Milliseconds now);
+    RolloutAggregator(const RolloutOrder&, Milliseconds now);
 
     // Adds a report of a process. Counts only grow, so an older report of the same process changes nothing. A VM whose
     // candidate is stopped passes on another aggregator's verdict.
-    void take(const std::string& process, const VersionEvidence&, bool isStopped);
-    GathererWord word(Milliseconds now);
+    void addReport(const std::string& process, const VersionEvidence&, bool isStopped);
+    RolloutDirective directive(Milliseconds now);
     // The decision that should be written now; empty while there is none.
-    std::optional<RolloutDecision> wanted(Milliseconds now);
+    std::optional<RolloutDecision> dueDecision(Milliseconds now);
     VersionEvidence evidence() const;
     std::size_t processCount() const { return m_evidenceByProcess.size(); }
 
--- a/src/rollout/Rollouts.h
+++ b/src/rollout/Rollouts.h
@@ -13,7 +13,7 @@
 public:
     // Begins to take part. A later order for the same service replaces an earlier one. Returns whether the order is
     // new.
-    bool begin(const RolloutOrder&, const RolloutTerms&);
+    bool begin(const RolloutOrder&, const RolloutParameters&);
     // Removes the service's order; its versions are no longer distinguished.
     void end(const std::string& service) { m_byService.erase(service); }
     // The service's rollout, or null.
--- a/src/settings/DaemonSettings.h
+++ b/src/settings/DaemonSettings.h
@@ -4,7 +4,7 @@
 
 #include "http/HttpServerSettings.h"
 #include "http/SocketAddress.h"
-#include "lupinknot/EndpointPulse.h"
+#include "lupinknot/EndpointLiveness.h"
 #include "lupinknot/RecoveryPolicy.h"
 #include "peer/PeerSettings.h"
 #include <optional>
@@ -55,7 +55,7 @@
     // Timeout for the first token of a stream on an endpoint that is alive.
     Milliseconds firstToken { 10000 };
 
-    PulseSettings pulse() const { return { detector, { floor, ceiling }, loneStream, prefill, firstToken }; }
+    LivenessSettings liveness() const { return { detector, { floor, ceiling }, loneStream, prefill, firstToken }; }
 };
 
 // How long an endpoint gets no new work after a failure. The time doubles with each further failure.
--- a/test/PeerRolloutsTest.cpp
+++ b/test/PeerRolloutsTest.cpp
@@ -175,7 +175,7 @@
     advanceStore();
     store->keepCopy();
     startRollout();
-    rollout().hear(GathererWord::Stop, daemon->clock().now());
+    rollout().applyDirective(RolloutDirective::Stop, daemon->clock().now());
     restoreStore();
     rollouts->takeTable({ { "rollout/s", orderText, false, 2, 1 } });
     rollouts->takeRow({ "rollout/s", orderText, false, 5, 1 });
--- a/test/RolloutTest.cpp
+++ b/test/RolloutTest.cpp
@@ -1,6 +1,6 @@
 #include "RelayHarness.h"
 #include "relay/EndpointDirectory.h"
-#include "rollout/RolloutGatherer.h"
+#include "rollout/RolloutAggregator.h"
 #include "rollout/RolloutJudge.h"
 
 #include <CppUTest/TestHarness.h>
@@ -26,7 +26,7 @@
 {
     Milliseconds now { 100000 };
     // One VM of five. Its part of the fixed number of 50 is 10, of which it spends a share of 0.8: eight.
-    const RolloutTerms parameters { { 0.1, 50 }, 0.2, "" };
+    const RolloutParameters parameters { { 0.1, 50 }, 0.2, "" };
     Rollout rollout { order, parameters };
 
     bool isSentToCandidate() { return rollout.choose(now).admits("v2"); }
@@ -43,13 +43,13 @@
 TEST(Rollout, SendsNothingToTheCandidateBeforeAnAggregatorPermitsIt)
 {
     CHECK_FALSE(isSentToCandidate());
-    rollout.hear(GathererWord::Try, now);
+    rollout.applyDirective(RolloutDirective::Try, now);
     CHECK(isSentToCandidate());
 }
 
 TEST(Rollout, LimitsCandidateRequestsToItsPartOfTheBudget)
 {
-    rollout.hear(GathererWord::Try, now);
+    rollout.applyDirective(RolloutDirective::Try, now);
     const auto fixed = exhaustBudget();
     CHECK_TEXT(fixed == 8 || fixed == 9, "expected 0.8 of a fifth of 50, rounded up or down");
     for (int i = 0; i < 100; ++i)
@@ -59,15 +59,15 @@
 
 TEST(Rollout, PermissionExpiresWhenNoAggregatorAnswers)
 {
-    rollout.hear(GathererWord::Try, now);
+    rollout.applyDirective(RolloutDirective::Try, now);
     now += Rollout::permissionLifetime;
     CHECK_FALSE(isSentToCandidate());
 }
 
 TEST(Rollout, AStopIsFinalWhateverOtherAggregatorsAnswer)
 {
-    rollout.hear(GathererWord::Stop, now);
-    rollout.hear(GathererWord::Try, now);
+    rollout.applyDirective(RolloutDirective::Stop, now);
+    rollout.applyDirective(RolloutDirective::Try, now);
     CHECK_FALSE(isSentToCandidate());
 }
 
@@ -75,27 +75,27 @@
 {
     rollout.decide(RolloutDecision::RolledBack, now);
     rollout.decide(RolloutDecision::Completed, now);
-    rollout.hear(GathererWord::Try, now);
+    rollout.applyDirective(RolloutDirective::Try, now);
     CHECK_FALSE(isSentToCandidate());
-    CHECK(rollout.proven(now).admits("v1"));
+    CHECK(rollout.provenChoice(now).admits("v1"));
 }
 
 TEST(Rollout, ACompletedCandidateServesAloneUntilTheOthersHaveLeftTheList)
 {
     rollout.decide(RolloutDecision::Completed, now);
-    CHECK(rollout.proven(now).admits("v2"));
-    CHECK_FALSE(rollout.proven(now).admits("v1"));
+    CHECK(rollout.provenChoice(now).admits("v2"));
+    CHECK_FALSE(rollout.provenChoice(now).admits("v1"));
     now += Rollout::replacedVersionExclusionTime;
-    CHECK_TEXT(
-        rollout.proven(now).admits("v3"), "expected another version to be admitted: it may come without an order");
+    CHECK_TEXT(rollout.provenChoice(now).admits("v3"),
+        "expected another version to be admitted: it may come without an order");
 }
 
 TEST(Rollout, CopiesArePlacedOnACandidateOnlyWhenItIsAboutToTakeOver)
 {
-    rollout.hear(GathererWord::Try, now);
-    CHECK_FALSE(rollout.forCopies(now).admits("v2"));
-    rollout.hear(GathererWord::Ready, now);
-    CHECK(rollout.forCopies(now).admits("v2"));
+    rollout.applyDirective(RolloutDirective::Try, now);
+    CHECK_FALSE(rollout.choiceForCopies(now).admits("v2"));
+    rollout.applyDirective(RolloutDirective::Ready, now);
+    CHECK(rollout.choiceForCopies(now).admits("v2"));
 }
 
 TEST_GROUP(RolloutJudge) {};
@@ -130,44 +130,44 @@
     CHECK_FALSE(isAcceptable(evidenceOf({ 100, 1 }, { 10, 0 })));
 }
 
-TEST_GROUP(RolloutGatherer)
+TEST_GROUP(RolloutAggregator)
 {
     Milliseconds now { 100000 };
-    RolloutGatherer aggregator { order, now };
+    RolloutAggregator aggregator { order, now };
 };
 
-TEST(RolloutGatherer, CountsAProcessOnceHoweverOftenItReports)
+TEST(RolloutAggregator, CountsAProcessOnceHoweverOftenItReports)
 {
     for (int i = 0; i < 3; ++i)
-        aggregator.take("vm-1/1", evidenceOf({ 10, 0 }, { 2, 1 }), false);
-    aggregator.take("vm-1/1", evidenceOf({ 5, 0 }, { 1, 0 }), false);
-    aggregator.take("vm-1/2", evidenceOf({ 3, 0 }, { 1, 1 }), false);
+        aggregator.addReport("vm-1/1", evidenceOf({ 10, 0 }, { 2, 1 }), false);
+    aggregator.addReport("vm-1/1", evidenceOf({ 5, 0 }, { 1, 0 }), false);
+    aggregator.addReport("vm-1/2", evidenceOf({ 3, 0 }, { 1, 1 }), false);
     LONGS_EQUAL(3, aggregator.evidence().total().candidate.answers);
     LONGS_EQUAL(13, aggregator.evidence().total().present.answers);
 }
 
-TEST(RolloutGatherer, PassesOnTheVerdictOfAnotherAggregator)
+TEST(RolloutAggregator, PassesOnTheVerdictOfAnotherAggregator)
 {
-    aggregator.take("vm-1/1", {}, true);
-    CHECK(aggregator.word(now) == GathererWord::Stop);
-    CHECK(aggregator.wanted(now) == RolloutDecision::RolledBack);
+    aggregator.addReport("vm-1/1", {}, true);
+    CHECK(aggregator.directive(now) == RolloutDirective::Stop);
+    CHECK(aggregator.dueDecision(now) == RolloutDecision::RolledBack);
 }
 
-TEST(RolloutGatherer, CompletesAGoodCandidateNearTheEndOfItsTime)
+TEST(RolloutAggregator, CompletesAGoodCandidateNearTheEndOfItsTime)
 {
-    aggregator.take("vm-1/1", evidenceOf({ 400, 4 }, { 80, 1 }), false);
-    CHECK_FALSE(aggregator.wanted(now).has_value());
+    aggregator.addReport("vm-1/1", evidenceOf({ 400, 4 }, { 80, 1 }), false);
+    CHECK_FALSE(aggregator.dueDecision(now).has_value());
     now += Milliseconds { 9000 };
-    CHECK(aggregator.wanted(now) == RolloutDecision::Completed);
+    CHECK(aggregator.dueDecision(now) == RolloutDecision::Completed);
 }
 
-TEST(RolloutGatherer, WithLittleEvidenceWaitsForOthersAndRollsBackAtTheEnd)
+TEST(RolloutAggregator, WithLittleEvidenceWaitsForOthersAndRollsBackAtTheEnd)
 {
-    aggregator.take("vm-1/1", evidenceOf({ 4, 0 }, { 1, 0 }), false);
+    aggregator.addReport("vm-1/1", evidenceOf({ 4, 0 }, { 1, 0 }), false);
     now += Milliseconds { 9500 };
-    CHECK_FALSE(aggregator.wanted(now).has_value());
+    CHECK_FALSE(aggregator.dueDecision(now).has_value());
     now += Milliseconds { 300 };
-    CHECK(aggregator.wanted(now) == RolloutDecision::RolledBack);
+    CHECK(aggregator.dueDecision(now) == RolloutDecision::RolledBack);
 }
 
 TEST_GROUP(RolloutOnRelay)
@@ -215,7 +215,7 @@
 TEST(RolloutOnRelay, ACallThatTheCandidateFailsIsAnsweredByThePresentVersion)
 {
     auto& rollout = *relay.daemon().rollouts().find("s");
-    rollout.hear(GathererWord::Try, relay.daemon().clock().now());
+    rollout.applyDirective(RolloutDirective::Try, relay.daemon().clock().now());
     for (int i = 0; i < 5; ++i)
         STRCMP_EQUAL("200", call("r" + std::to_string(i)).c_str());
     LONGS_EQUAL(5, rollout.evidence().total().candidate.bad);
@@ -226,7 +226,7 @@
 {
     auto& rollout = *relay.daemon().rollouts().find("s");
     const auto now = relay.daemon().clock().now();
-    rollout.hear(GathererWord::Try, now);
+    rollout.applyDirective(RolloutDirective::Try, now);
     rollout.decide(RolloutDecision::RolledBack, now);
     STRCMP_EQUAL("200", call("r1").c_str());
     LONGS_EQUAL(0, rollout.exposed());
