--- a/src/admission/AttemptAdmission.cpp
+++ b/src/admission/AttemptAdmission.cpp
@@ -51,11 +51,11 @@
 {
     const auto& availability = request.availability;
     if (!availability) {
-        const auto wait = waitForCapacity(request.call, request.usualCallTime, request.spread, now);
+        const auto wait = waitForCapacity(request.call, request.medianCallTime, request.spread, now);
         return { wait.waits, wait.pause, request.lastReason };
     }
     const auto spread = availability->isAfterBackOff ? request.spread : 0;
-    const auto wait = waitForAvailability(request.call, availability->at - now, request.usualCallTime, spread, now);
+    const auto wait = waitForAvailability(request.call, availability->at - now, request.medianCallTime, spread, now);
     return { wait.waits, wait.pause, reasonOf(*availability) };
 }
 
--- a/src/admission/AttemptAdmission.h
+++ b/src/admission/AttemptAdmission.h
@@ -10,7 +10,7 @@
 //     const auto verdict = decideAttempt(state);
 //     if (verdict != AttemptDecision::Allowed) refuse(refusalAfter(verdict, state.possibleRuns));
 //     ...
-//     const auto wait = waitOrRefuse({ call, availability, usualCallTime, spread, reason }, now);
+//     const auto wait = waitOrRefuse({ call, availability, medianCallTime, spread, reason }, now);
 //
 // Pure functions of their arguments; thread-safe.
 #pragma once
@@ -58,7 +58,7 @@
     // When the first endpoint accepts requests again, if all are rate limited or in back-off.
     std::optional<EndpointAvailability> availability;
     // Usual duration of a call to the service.
-    Milliseconds usualCallTime { 0 };
+    Milliseconds medianCallTime { 0 };
     // Random value from 0 to 1 that differs between requests.
     double spread { 0 };
     // Why the last attempt failed.
--- a/src/admission/WaitForCapacity.cpp
+++ b/src/admission/WaitForCapacity.cpp
@@ -16,12 +16,12 @@
 
 } // namespace
 
-WaitDecision waitForCapacity(const WaitingCall& call, Milliseconds usualCallTime, double spread, Milliseconds now)
+WaitDecision waitForCapacity(const WaitingCall& call, Milliseconds medianCallTime, double spread, Milliseconds now)
 {
-    const auto first = std::clamp(usualCallTime, minPause, maxPause);
+    const auto first = std::clamp(medianCallTime, minPause, maxPause);
     const auto doubled = std::min(first * (1 << std::min(call.rounds, maxDoublings)), maxPause);
     const auto pause = scaled(doubled, 1 - pauseSpread + 2 * pauseSpread * spread);
-    const bool endsInTime = now + pause + usualCallTime <= call.deadline;
+    const bool endsInTime = now + pause + medianCallTime <= call.deadline;
     return { pause <= timeToWait(call, now) && endsInTime, pause };
 }
 
@@ -31,11 +31,11 @@
     return std::max(latest - now, Milliseconds { 0 });
 }
 
-WaitDecision waitForAvailability(const WaitingCall& call, Milliseconds timeUntilAvailable, Milliseconds usualCallTime,
+WaitDecision waitForAvailability(const WaitingCall& call, Milliseconds timeUntilAvailable, Milliseconds medianCallTime,
     double spread, Milliseconds now)
 {
     const auto pause = std::max(timeUntilAvailable, minPause) + scaled(retryDelayWhenFull, spread);
-    const bool endsInTime = now + pause + usualCallTime <= call.deadline;
+    const bool endsInTime = now + pause + medianCallTime <= call.deadline;
     return { pause <= timeToWait(call, now) && endsInTime, pause };
 }
 
--- a/src/admission/WaitForCapacity.h
+++ b/src/admission/WaitForCapacity.h
@@ -12,7 +12,7 @@
 // In both cases a caller has a single retry, so waiting is better than a refusal as long as the answer can arrive in
 // time.
 //
-//     const auto decision = waitForCapacity({ arrivedAt, deadline, rounds }, usualCallTime, spread, now);
+//     const auto decision = waitForCapacity({ arrivedAt, deadline, rounds }, medianCallTime, spread, now);
 //     if (decision.waits) ...                                  // Try again after decision.pause.
 //     else refuse(callerRetryDelay(CapacityObstacle::Full, timeLeft, spread));
 //
@@ -51,8 +51,8 @@
 // Pauses vary randomly by this share in both directions, so that calls rejected together do not return together.
 inline constexpr double pauseSpread = 0.25;
 
-// `usualCallTime` is the usual duration of a call to the service, `spread` a random number from 0 to 1.
-WaitDecision waitForCapacity(const WaitingCall&, Milliseconds usualCallTime, double spread, Milliseconds now);
+// `medianCallTime` is the usual duration of a call to the service, `spread` a random number from 0 to 1.
+WaitDecision waitForCapacity(const WaitingCall&, Milliseconds medianCallTime, double spread, Milliseconds now);
 
 // How long the call may still wait while leaving time for one more try by its caller.
 Milliseconds timeToWait(const WaitingCall&, Milliseconds now);
@@ -61,7 +61,7 @@
 // or rate limited. A call that cannot wait until then is refused at once. `spread` delays calls that wait for the end
 // of the same back-off so that they do not arrive together; it is 0 for permits, which are spaced already.
 WaitDecision waitForAvailability(
-    const WaitingCall&, Milliseconds timeUntilAvailable, Milliseconds usualCallTime, double spread, Milliseconds now);
+    const WaitingCall&, Milliseconds timeUntilAvailable, Milliseconds medianCallTime, double spread, Milliseconds now);
 
 // Maximum share of its remaining time that a caller is told to wait; callers cut longer delays to this.
 inline constexpr double maxRetryDelayShare = 1.0 / 3;
--- a/src/limits/EndpointKeepers.h
+++ b/src/limits/EndpointKeepers.h
@@ -1,7 +1,7 @@
 // Chooses the limit keepers of a rate-limited endpoint: the VM that issues the permits for it, followed by its
 // substitutes.
 //
-//     const auto numbers = chooseEndpointKeepers(startName, { { name, availabilityZone }, ... });
+//     const auto numbers = chooseEndpointKeepers(incarnationName, { { name, availabilityZone }, ... });
 //
 // Uses rendezvous hashing, so that all VMs choose the same keepers. Each keeper is in another availability zone than
 // those before it, if possible, so that a zone that is cut off does not take all of them. A pure function of its
--- a/src/limits/PermitSource.h
+++ b/src/limits/PermitSource.h
@@ -1,7 +1,7 @@
 // Interface through which a VM asks for permits to send requests to rate-limited endpoints, and reports the limits that
 // it hears.
 //
-//     permits.ask({ startName, limit, permitTimeout }, [](const PermitAnswer& answer) { ... });
+//     permits.ask({ incarnationName, limit, permitTimeout }, [](const PermitAnswer& answer) { ... });
 //
 // Used on the relay's thread only. It outlives the answers to its questions or drops them.
 #pragma once
@@ -22,7 +22,7 @@
 };
 
 struct PermitRequest {
-    // Identifies the endpoint incarnation (EndpointEntry::startName).
+    // Identifies the endpoint incarnation (EndpointEntry::incarnationName).
     std::string endpoint;
     LimitReport report;
     // How long the request can wait for its slot.
--- a/src/model/RetryModel.cpp
+++ b/src/model/RetryModel.cpp
@@ -30,7 +30,7 @@
 
     void start(Milliseconds now)
     {
-        settings.retrySlackFrom = now + settings.retryWindow;
+        settings.retrySlackStartsAt = now + settings.retryWindow;
         budget = std::make_unique<RetryBudget>(settings);
         runs.clear();
     }
--- a/src/relay/CrashGuard.cpp
+++ b/src/relay/CrashGuard.cpp
@@ -93,10 +93,10 @@
     if (!m_settings.policies.has(Policy::CrashQuarantine))
         return;
     const auto& entry = loss.endpoint->entry();
-    EndpointLoss event { entry.startName(), entry.service, entry.availabilityZone, loss.digest, m_clock.now() };
-    const auto lastLife = loss.endpoint->lastLife();
-    const bool wasLost = m_losses.wasLostBefore(event.endpointId, loss.sentAt, lastLife);
-    m_losses.note(event, lastLife);
+    EndpointLoss event { entry.incarnationName(), entry.service, entry.availabilityZone, loss.digest, m_clock.now() };
+    const auto lastAliveAt = loss.endpoint->lastAliveAt();
+    const bool wasLost = m_losses.wasLostBefore(event.endpointId, loss.sentAt, lastAliveAt);
+    m_losses.note(event, lastAliveAt);
     const bool isNotAtFault = wasLost || m_served.has(loss.digest, m_clock.now());
     const auto weight = isNotAtFault ? 0 : crashWeight(loss.run);
     if (weight <= 0 || m_pendingLosses.size() >= maxPendingLosses)
@@ -135,7 +135,7 @@
 {
     OtherEndpointCounts others;
     for (const auto& endpoint : m_directory.endpointsOf(pendingLoss.event.service)) {
-        if (endpoint->entry().startName() == pendingLoss.event.endpointId)
+        if (endpoint->entry().incarnationName() == pendingLoss.event.endpointId)
             continue;
         ++others.inService;
         others.inZone += endpoint->entry().availabilityZone == pendingLoss.event.zone;
--- a/src/relay/EndpointCall.cpp
+++ b/src/relay/EndpointCall.cpp
@@ -33,8 +33,8 @@
 {
     std::shared_ptr<EndpointCall> call(
         new EndpointCall(context, std::move(endpoint), std::move(options), std::move(listener)));
-    const auto margin = context.settings.restMargin;
-    call->m_connection = call->m_endpoint->takeConnection(call->m_startedAt, call->m_options.maxRest, margin);
+    const auto margin = context.settings.idleTimeoutMargin;
+    call->m_connection = call->m_endpoint->takeConnection(call->m_startedAt, call->m_options.maxIdleTime, margin);
     call->m_connection->send(request, call->weak_from_this());
     return call;
 }
@@ -87,7 +87,7 @@
         return;
     }
     if (isFromEndpoint && m_endpoint->noteLimit(fields.limit, m_startedAt, now))
-        m_context.permits->reportLimit(m_endpoint->entry().startName(), m_endpoint->limitNews(now));
+        m_context.permits->reportLimit(m_endpoint->entry().incarnationName(), m_endpoint->limitNews(now));
     if (const auto listener = m_listener.lock())
         listener->callHead(*this, head, fields);
 }
@@ -111,7 +111,7 @@
     const auto self = shared_from_this();
     m_hadSent = true;
     end();
-    m_endpoint->noteLife(m_context.now());
+    m_endpoint->noteAlive(m_context.now());
     // The connection becomes idle, if at all, only after this callback returns.
     boost::asio::post(m_context.ioContext, [&context = m_context, endpoint = m_endpoint, connection = m_connection] {
         endpoint->giveBack(connection, context.now());
--- a/src/relay/EndpointCall.h
+++ b/src/relay/EndpointCall.h
@@ -34,7 +34,7 @@
 struct EndpointCallOptions {
     std::string requestId;
     // Longest idle time of a kept-alive connection that may carry the call; zero opens a new connection.
-    Milliseconds maxRest { 0 };
+    Milliseconds maxIdleTime { 0 };
 };
 
 class EndpointCall final : public ClientConnectionListener, public std::enable_shared_from_this<EndpointCall> {
--- a/src/relay/EndpointDirectory.cpp
+++ b/src/relay/EndpointDirectory.cpp
@@ -35,7 +35,7 @@
     if (known != m_endpointsById.end()) {
         const auto endpoint = known->second;
         // An entry without a start time is taken to be of the known incarnation.
-        entry.born = std::max(entry.born, endpoint->entry().born);
+        entry.startTime = std::max(entry.startTime, endpoint->entry().startTime);
         if (endpoint->entry().isDraining != entry.isDraining || endpoint->isRemoved()) {
             ++m_counts.changed;
             logEndpoint("endpoint.changed", entry);
@@ -51,7 +51,7 @@
     const auto id = entry.id;
     const ClientConnectionSettings connection { .connectTimeout = m_settings.endpointConnectTimeout };
     const auto endpoint = std::make_shared<RelayEndpoint>(m_ioContext, entry, connection, now);
-    if (const auto removal = m_removals.find(entry.startName()); removal != m_removals.end())
+    if (const auto removal = m_removals.find(entry.incarnationName()); removal != m_removals.end())
         endpoint->restoreSignals(removal->second.signals, now);
     endpoint->updateEntry(std::move(entry), now);
     m_endpointsById.emplace(id, endpoint);
@@ -65,7 +65,7 @@
         entry.isDraining = entry.isDraining || known->second->entry().isDraining;
         return;
     }
-    const auto removal = m_removals.find(entry.startName());
+    const auto removal = m_removals.find(entry.incarnationName());
     entry.isDraining = entry.isDraining || (removal != m_removals.end() && removal->second.signals.isLeaving());
 }
 
@@ -73,14 +73,14 @@
 {
     const auto known = m_endpointsById.find(entry.id);
     const bool isListed = known != m_endpointsById.end() && !known->second->isRemoved();
-    return !isListed && m_removals.count(entry.startName()) > 0;
+    return !isListed && m_removals.count(entry.incarnationName()) > 0;
 }
 
 void EndpointDirectory::recordRelisted(EndpointEntry entry, Milliseconds now)
 {
     // The announcement that it shuts down is taken over at once: the endpoint may still be in use as a last resort.
     if (entry.isDraining) {
-        m_removals.at(entry.startName()).signals.noteLeaving();
+        m_removals.at(entry.incarnationName()).signals.noteLeaving();
         if (const auto known = find(entry.id))
             known->setDraining(now);
     }
@@ -90,18 +90,18 @@
 bool EndpointDirectory::removeEarlierIncarnation(const EndpointEntry& entry, Milliseconds now)
 {
     const auto known = m_endpointsById.find(entry.id);
-    if (known == m_endpointsById.end() || entry.born == 0)
+    if (known == m_endpointsById.end() || entry.startTime == 0)
         return true;
     const auto current = known->second;
-    if (entry.born < current->entry().born) {
+    if (entry.startTime < current->entry().startTime) {
         LogEvent("endpoint.stale-entry")
             .text("endpoint", entry.id)
-            .number("born", static_cast<std::int64_t>(entry.born))
-            .number("known_born", static_cast<std::int64_t>(current->entry().born))
+            .number("born", static_cast<std::int64_t>(entry.startTime))
+            .number("known_born", static_cast<std::int64_t>(current->entry().startTime))
             .write();
         return false;
     }
-    if (current->entry().born == 0 || entry.born == current->entry().born)
+    if (current->entry().startTime == 0 || entry.startTime == current->entry().startTime)
         return true;
     ++m_counts.replaced;
     logEndpoint("endpoint.restarted", entry);
@@ -134,7 +134,7 @@
     if (known == m_endpointsById.end() || known->second->isRemoved())
         return;
     const auto& entry = known->second->entry();
-    m_removals.insert_or_assign(entry.startName(), Removal { now, known->second->signals() });
+    m_removals.insert_or_assign(entry.incarnationName(), Removal { now, known->second->signals() });
     ++m_counts.removed;
     logEndpoint("endpoint.removed", known->second->entry());
     known->second->setRemoved(now);
@@ -236,8 +236,8 @@
 void EndpointDirectory::listRestored(Milliseconds now)
 {
     m_unconfirmed = {};
-    m_keepMissingUntil = now + m_settings.missingEndpointsStay;
-    m_ignoreGoneUntil = now + m_settings.goneEndpointsStay;
+    m_keepMissingUntil = now + m_settings.keepMissingEndpointsFor;
+    m_ignoreGoneUntil = now + m_settings.ignoreGoneEndpointsFor;
 }
 
 void EndpointDirectory::applyUnconfirmed(Milliseconds now)
@@ -280,7 +280,7 @@
 void EndpointDirectory::drop(const std::shared_ptr<RelayEndpoint>& endpoint)
 {
     // The entry may only have expired: what the endpoint announced still holds when it is listed again.
-    if (const auto removal = m_removals.find(endpoint->entry().startName()); removal != m_removals.end())
+    if (const auto removal = m_removals.find(endpoint->entry().incarnationName()); removal != m_removals.end())
         removal->second.signals.merge(endpoint->signals());
     const auto atAddress = m_idsByAddress.find(endpoint->entry().address.text());
     if (atAddress != m_idsByAddress.end() && atAddress->second == endpoint->entry().id)
@@ -319,8 +319,8 @@
 bool EndpointDirectory::isSuspected(const RelayEndpoint& endpoint, Milliseconds now) const
 {
     const auto zone = m_zones.find(endpoint.entry().availabilityZone);
-    return zone != m_zones.end() && zone->second.failedAt > endpoint.lastLife()
-        && now - zone->second.failedAt < m_settings.doubtAfterZoneFailure;
+    return zone != m_zones.end() && zone->second.failedAt > endpoint.lastAliveAt()
+        && now - zone->second.failedAt < m_settings.suspectAfterZoneFailure;
 }
 
 bool EndpointDirectory::hasZoneFailedSince(const std::string& zone, Milliseconds since) const
--- a/src/relay/EndpointDirectory.h
+++ b/src/relay/EndpointDirectory.h
@@ -136,7 +136,7 @@
     std::unordered_map<std::string, ZoneHealth> m_zones;
     // Counts of the list or change that is being applied.
     EndpointCounts m_counts;
-    // By EndpointEntry::startName().
+    // By EndpointEntry::incarnationName().
     std::map<std::string, Removal> m_removals;
     UnconfirmedChanges m_unconfirmed;
     // Until these times, endpoints that the list lacks stay, and endpoints that are gone are not listed again.
--- a/src/relay/EndpointEntry.h
+++ b/src/relay/EndpointEntry.h
@@ -18,10 +18,10 @@
     // Software version; empty when unknown.
     std::string version;
     // Wall-clock start time in milliseconds; 0 when the entry does not state it.
-    std::uint64_t born { 0 };
+    std::uint64_t startTime { 0 };
 
     // Identifies this incarnation of the endpoint.
-    std::string startName() const { return born == 0 ? id : id + "@" + std::to_string(born); }
+    std::string incarnationName() const { return startTime == 0 ? id : id + "@" + std::to_string(startTime); }
 };
 
 } // namespace lupinknot::internal
--- a/src/relay/EngineChoice.cpp
+++ b/src/relay/EngineChoice.cpp
@@ -3,7 +3,7 @@
 #include "common/EventLog.h"
 #include "relay/EndpointDirectory.h"
 #include "relay/EngineForecast.h"
-#include "relay/EngineSurvey.h"
+#include "relay/EngineLoadProbe.h"
 #include "relay/Placement.h"
 #include "relay/RelayConfiguration.h"
 #include "relay/RelayContext.h"
@@ -96,7 +96,7 @@
         && !m_context.directory.isSuspected(engine, now);
 }
 
-std::optional<RunTarget> EngineChoice::placeOfCopy() const
+std::optional<RunTarget> EngineChoice::copyTarget() const
 {
     if (!m_copyHolder || !isHealthy(*m_copyHolder) || !m_rollout.next().admits(m_copyHolder->entry().version))
         return std::nullopt;
@@ -136,7 +136,7 @@
     auto engine = m_context.placement.choose(placementRequest(), now);
     if (!engine && !m_failed.empty())
         engine = m_context.placement.choose(
-            { .service = m_request.service, .version = m_rollout.next(), .mustBeSound = true }, now);
+            { .service = m_request.service, .version = m_rollout.next(), .mustBeHealthy = true }, now);
     callback(engine);
 }
 
@@ -148,15 +148,16 @@
         return false;
     // A probe may count as a request at a rate-limited engine.
     auto healthy = placementRequest();
-    healthy.mustBeSound = true;
-    healthy.limited = LimitedEndpoints::LeftOut;
-    const auto engines = m_context.placement.candidates(healthy, m_context.settings.surveySize, m_context.now());
+    healthy.mustBeHealthy = true;
+    healthy.limited = LimitedEndpoints::Excluded;
+    const auto engines = m_context.placement.candidates(healthy, m_context.settings.loadProbeSize, m_context.now());
     if (engines.size() < 2)
         return false;
-    m_loadProbe = EngineSurvey::start(m_context, engines, [weak = weak_from_this(), callback](const Engines& answered) {
-        if (const auto self = weak.lock())
-            self->onLoadProbed(answered, callback);
-    });
+    m_loadProbe
+        = EngineLoadProbe::start(m_context, engines, [weak = weak_from_this(), callback](const Engines& answered) {
+              if (const auto self = weak.lock())
+                  self->onLoadProbed(answered, callback);
+          });
     return true;
 }
 
@@ -182,17 +183,17 @@
         .text("endpoint", engine.entry().id)
         .number("answered", static_cast<std::int64_t>(answered))
         .number("forecast_ms", forecast.count())
-        .number("being_read", report.promptsBeingRead)
+        .number("being_read", report.promptsInPrefill)
         .number("waiting", report.promptsWaiting)
         .number("generating", report.generating)
         .number("memory_used", static_cast<std::int64_t>(report.memoryUsed))
-        .number("own_being_read", engine.promptsBeingRead())
+        .number("own_being_read", engine.promptsInPrefill())
         .write();
 }
 
 void EngineChoice::cancel() { m_loadProbe.reset(); }
 
-std::shared_ptr<RelayEndpoint> EngineChoice::copyHolderFor(const RelayEndpoint& engine) const
+std::shared_ptr<RelayEndpoint> EngineChoice::chooseCopyHolder(const RelayEndpoint& engine) const
 {
     const auto* service = m_context.configuration->findService(m_request.service);
     if (!m_context.has(Policy::GrowingCopies) || !service || !service->copiesRunningMemory
@@ -202,28 +203,28 @@
         .excluded = m_failed,
         .zonesToAvoid = { engine.entry().availabilityZone },
         .version = m_rollout.choiceForCopies(engine),
-        .mustBeSound = true,
+        .mustBeHealthy = true,
         .limited = LimitedEndpoints::Unrestricted };
     return m_context.placement.choose(wanted, m_context.now());
 }
 
-Milliseconds EngineChoice::patienceForPermit(bool isFromCopy) const
+Milliseconds EngineChoice::permitTimeoutFor(bool isFromCopy) const
 {
     // A copy saves the prefill of the prompt, which takes longer than this wait.
     if (isFromCopy)
         return m_request.route->longestPause / 2;
     const auto now = m_context.now();
     auto other = placementRequest();
-    other.mustBeSound = true;
-    other.limited = LimitedEndpoints::LeftOut;
+    other.mustBeHealthy = true;
+    other.limited = LimitedEndpoints::Excluded;
     if (m_context.placement.choose(other, now))
         return Milliseconds { 0 };
     return std::max(m_request.admittedAt + m_context.settings.waitForEndpoint - now, Milliseconds { 0 });
 }
 
-std::optional<EndpointAvailability> EngineChoice::nextOpening() const
+std::optional<EndpointAvailability> EngineChoice::nextAvailability() const
 {
-    return m_context.placement.nextOpening(
+    return m_context.placement.nextAvailability(
         { .service = m_request.service, .version = m_rollout.next() }, m_context.now());
 }
 
--- a/src/relay/EngineChoice.h
+++ b/src/relay/EngineChoice.h
@@ -4,7 +4,7 @@
 // that has the prompt cached, then the least loaded of a few engines that are probed.
 //
 //     const auto choice = EngineChoice::make(context, request, rollout);
-//     if (const auto location = choice->placeOfCopy()) ...
+//     if (const auto location = choice->copyTarget()) ...
 //     choice->choose([this](const std::shared_ptr<RelayEndpoint>& engine) { ... });       // Null when there is none.
 //
 // Used on the relay's thread only. Owned by the stream's call; no callback is called after its destruction.
@@ -20,7 +20,7 @@
 
 namespace lupinknot::internal {
 
-class EngineSurvey;
+class EngineLoadProbe;
 class RelayEndpoint;
 class RolloutPart;
 class RunLocations;
@@ -52,7 +52,7 @@
     void forgetLocation() const;
 
     // The engine that holds the copy, if it is healthy.
-    std::optional<RunTarget> placeOfCopy() const;
+    std::optional<RunTarget> copyTarget() const;
     // The copy is named after the attempt whose KV cache it holds.
     void setCopy(std::shared_ptr<RelayEndpoint> holder, std::string name);
     void forgetCopy() { m_copyHolder.reset(); }
@@ -68,11 +68,11 @@
     void noteFailed(std::shared_ptr<RelayEndpoint> engine) { m_failed.push_back(std::move(engine)); }
 
     // The engine that should receive a copy of a run at the given engine; null for none.
-    std::shared_ptr<RelayEndpoint> copyHolderFor(const RelayEndpoint& engine) const;
+    std::shared_ptr<RelayEndpoint> chooseCopyHolder(const RelayEndpoint& engine) const;
     // How long the stream can wait for a permit at a rate-limited engine.
-    Milliseconds patienceForPermit(bool isFromCopy) const;
+    Milliseconds permitTimeoutFor(bool isFromCopy) const;
     // When the first engine accepts a request again if all are rate-limited or backing off; empty otherwise.
-    std::optional<EndpointAvailability> nextOpening() const;
+    std::optional<EndpointAvailability> nextAvailability() const;
 
 private:
     EngineChoice(RelayContext&, const RelayRequest&, RolloutPart&);
@@ -96,7 +96,7 @@
     std::shared_ptr<RelayEndpoint> m_copyHolder;
     std::string m_copyName;
     // Set while engines are probed for the next run.
-    std::shared_ptr<EngineSurvey> m_loadProbe;
+    std::shared_ptr<EngineLoadProbe> m_loadProbe;
 };
 
 } // namespace lupinknot::internal
--- a/src/relay/EngineForecast.cpp
+++ b/src/relay/EngineForecast.cpp
@@ -36,19 +36,19 @@
 
 Milliseconds prefillTime(const EngineWork& work, const EnginePace& pace)
 {
-    return Milliseconds { static_cast<std::int64_t>(tokensOf(work, pace) * pace.readTimePerToken) };
+    return Milliseconds { static_cast<std::int64_t>(tokensOf(work, pace) * pace.prefillTimePerToken) };
 }
 
 Milliseconds forecastDelay(
     const EngineWork& work, const EngineReport& report, std::uint32_t ownPromptsInPrefill, const EnginePace& pace)
 {
-    const auto ownPrefill = tokensOf(work, pace) * pace.readTimePerToken;
-    const auto typicalPrefill = pace.typicalPromptTokens * pace.readTimePerToken;
+    const auto ownPrefill = tokensOf(work, pace) * pace.prefillTimePerToken;
+    const auto typicalPrefill = pace.typicalPromptTokens * pace.prefillTimePerToken;
     // A prompt of this VM that the report lacks was sent after the report.
-    const auto reported = report.promptsBeingRead + report.promptsWaiting;
+    const auto reported = report.promptsInPrefill + report.promptsWaiting;
     const double unreported = ownPromptsInPrefill > reported ? ownPromptsInPrefill - reported : 0;
     const auto wait
-        = (remainingPrefillShare * report.promptsBeingRead + report.promptsWaiting + unreported) * typicalPrefill;
+        = (remainingPrefillShare * report.promptsInPrefill + report.promptsWaiting + unreported) * typicalPrefill;
     const auto slowed = slowdownShare * report.generating * ownPrefill;
     const auto sum = std::min(wait + ownPrefill + slowed, static_cast<double>(longestDelay.count()));
     const Milliseconds delay { static_cast<std::int64_t>(sum) };
@@ -58,7 +58,7 @@
 Milliseconds forecastDelay(const EngineWork& work, const RelayEndpoint& endpoint, const EnginePace& pace)
 {
     const auto* const report = endpoint.report();
-    return forecastDelay(work, report ? *report : EngineReport {}, endpoint.promptsBeingRead(), pace);
+    return forecastDelay(work, report ? *report : EngineReport {}, endpoint.promptsInPrefill(), pace);
 }
 
 } // namespace lupinknot::internal
--- a/src/relay/EngineForecast.h
+++ b/src/relay/EngineForecast.h
@@ -23,7 +23,7 @@
 // What this VM has observed of the engines of a service.
 struct EnginePace {
     // Milliseconds per prompt token for an engine that prefills nothing else.
-    double readTimePerToken { 0.2 };
+    double prefillTimePerToken { 0.2 };
     // Tokens of a typical prompt.
     double typicalPromptTokens { 5000 };
 };
--- a/src/relay/EngineSurvey.h
+++ b/src/relay/EngineLoadProbe.h
@@ -1,6 +1,6 @@
 // Probes the load of some engines before one of them is chosen.
 //
-//     m_loadProbe = EngineSurvey::start(context, engines, [this] { choose(); });
+//     m_loadProbe = EngineLoadProbe::start(context, engines, [this] { choose(); });
 //
 // The reports are stored with the endpoints. The probe ends when all engines have answered, or when the remaining ones
 // take much longer than the others. An engine that does not answer should not be sent a prompt.
@@ -22,16 +22,16 @@
 class RelayEndpoint;
 struct RelayContext;
 
-class EngineSurvey : public std::enable_shared_from_this<EngineSurvey> {
+class EngineLoadProbe : public std::enable_shared_from_this<EngineLoadProbe> {
 public:
     using Engines = std::vector<std::shared_ptr<RelayEndpoint>>;
     // Called once, at the end, with the engines that answered with a valid report.
     using Callback = std::function<void(const Engines& answered)>;
 
-    static std::shared_ptr<EngineSurvey> start(RelayContext&, const Engines&, Callback);
+    static std::shared_ptr<EngineLoadProbe> start(RelayContext&, const Engines&, Callback);
 
 private:
-    EngineSurvey(RelayContext&, Callback);
+    EngineLoadProbe(RelayContext&, Callback);
     void ask(const std::shared_ptr<RelayEndpoint>&);
     void answered(const std::shared_ptr<RelayEndpoint>&, const std::shared_ptr<ClientConnection>&, const HttpOutcome&);
     void awaitRemaining();
--- a/src/relay/EngineReport.h
+++ b/src/relay/EngineReport.h
@@ -8,7 +8,7 @@
 
 struct EngineReport {
     // Prompts in prefill, and prompts that wait for prefill.
-    std::uint32_t promptsBeingRead { 0 };
+    std::uint32_t promptsInPrefill { 0 };
     std::uint32_t promptsWaiting { 0 };
     // Runs that generate events.
     std::uint32_t generating { 0 };
--- a/src/relay/EventStreamCall.cpp
+++ b/src/relay/EventStreamCall.cpp
@@ -117,7 +117,7 @@
 {
     if (!mayBeSent())
         return;
-    if (const auto copyLocation = m_choice->placeOfCopy()) {
+    if (const auto copyLocation = m_choice->copyTarget()) {
         if (mayStartRun())
             startRunAt(copyLocation->engine, copyLocation->copy);
         return;
@@ -153,7 +153,7 @@
         sendTo(endpoint, std::move(copy));
         return;
     }
-    const auto maxWait = m_choice->patienceForPermit(copy.has_value());
+    const auto maxWait = m_choice->permitTimeoutFor(copy.has_value());
     m_permit = PermitWait::start(
         m_context, endpoint, maxWait, [weak = weak_from_this(), endpoint, copy = std::move(copy)](bool isGranted) {
             const auto self = weak.lock();
@@ -177,7 +177,7 @@
     auto run = std::make_shared<StreamRun>();
     run->number = m_answer->beginRun();
     run->endpoint = endpoint;
-    run->copyHolder = m_choice->copyHolderFor(*endpoint);
+    run->copyHolder = m_choice->chooseCopyHolder(*endpoint);
     run->startedAt = now;
     run->lastActivity = now;
     run->isFromCopy = copy.has_value();
@@ -200,12 +200,12 @@
     ++m_possibleDeliveries;
     ++m_possibleRuns;
     if (!run->isFromCopy)
-        run->reading = std::make_unique<ReadingMark>(endpoint);
+        run->reading = std::make_unique<PrefillScope>(endpoint);
     m_run = run;
     m_choice->noteLocation(*run);
     const auto request = m_context.protocol.encodeForward(exchange->request(), fields);
     run->call = EndpointCall::start(
-        m_context, endpoint, request, { m_request.fields.requestId, m_context.settings.maxRest }, weak_from_this());
+        m_context, endpoint, request, { m_request.fields.requestId, m_context.settings.maxIdleTime }, weak_from_this());
     m_watch->begin(m_run);
 }
 
@@ -213,7 +213,7 @@
 {
     if (m_answer->length() == 0) {
         const auto& settings = m_context.settings;
-        const auto decision = waitOrRefuseStream(m_choice->nextOpening(), m_possibleRuns,
+        const auto decision = waitOrRefuseStream(m_choice->nextAvailability(), m_possibleRuns,
             m_request.admittedAt + settings.waitForEndpoint, settings.endpointRetryInterval, m_context.now());
         if (!decision.waits) {
             giveUp(decision.reason);
@@ -243,7 +243,7 @@
     m_run->fields = fields;
     m_run->isFramed = head.headers.find("Transfer-Encoding") || head.headers.find("Content-Length");
     m_run->isStream = head.status == okStatus && fields.isSigned;
-    m_run->endpoint->noteLife(m_context.now());
+    m_run->endpoint->noteAlive(m_context.now());
 }
 
 void EventStreamCall::callBody(EndpointCall& call, std::string_view piece)
@@ -272,7 +272,7 @@
         return;
     }
     run.lastActivity = now;
-    run.endpoint->noteLife(now);
+    run.endpoint->noteAlive(now);
     if (!run.hasEvent && m_failedAt)
         recordResumption(run, now);
     run.hasEvent = true;
@@ -284,7 +284,7 @@
     run.reading.reset();
     m_watch->noteEvent();
     if (!m_answer->hasBegun()) {
-        const auto usual = m_context.pace(m_request.service).usualFirstEvent(m_request.fields.promptTokens);
+        const auto usual = m_context.pace(m_request.service).medianTimeToFirstEvent(m_request.fields.promptTokens);
         if (!run.isFromCopy && !m_request.fields.lastEventId)
             m_rollout.noteAnswerAfter(*run.endpoint, now - run.startedAt, usual);
         m_pace.recordPromptTime(run, now);
@@ -468,7 +468,7 @@
         comeBackIn = std::max(m_request.deadline - m_context.now(), m_context.settings.retryAfter);
     if (reason == RefusalReason::HeldInQuarantine)
         comeBackIn = m_context.crashGuard.heldFor(m_request.digest);
-    if (const auto opening = isUnavailabilityRefusal(reason) ? m_choice->nextOpening() : std::nullopt)
+    if (const auto opening = isUnavailabilityRefusal(reason) ? m_choice->nextAvailability() : std::nullopt)
         comeBackIn = retryDelayUntilAvailable(*opening, fractionOfName(m_request.fields.requestId), m_context.now());
     m_request.exchange->respond(refusal(m_context, reason, comeBackIn));
     finish();
--- a/src/relay/PermitWait.cpp
+++ b/src/relay/PermitWait.cpp
@@ -13,7 +13,7 @@
 {
     std::shared_ptr<PermitWait> wait(new PermitWait(context, std::move(endpoint), std::move(callback)));
     const auto& target = *wait->m_endpoint;
-    context.permits->ask({ target.entry().startName(), target.limitNews(context.now()), maxWait },
+    context.permits->ask({ target.entry().incarnationName(), target.limitNews(context.now()), maxWait },
         [weak = wait->weak_from_this()](const PermitAnswer& answer) {
             if (const auto self = weak.lock())
                 self->handleAnswer(answer);
--- a/src/relay/Placement.cpp
+++ b/src/relay/Placement.cpp
@@ -65,7 +65,7 @@
             continue;
         const auto sum
             = cost(*endpoint, request, now) - (endpoint.get() == preferredEndpoint ? request.preference : 0.0);
-        if (!request.mustBeSound || sum < failingZoneCost)
+        if (!request.mustBeHealthy || sum < failingZoneCost)
             found.push_back({ sum, endpoint });
     }
     auto best = cheapest(found, count);
@@ -115,7 +115,7 @@
     return endpoint.mayTakeWork(now, m_settings.leavingEndpointGrace) && isCandidate(endpoint, request);
 }
 
-std::optional<EndpointAvailability> Placement::nextOpening(const PlacementRequest& request, Milliseconds now) const
+std::optional<EndpointAvailability> Placement::nextAvailability(const PlacementRequest& request, Milliseconds now) const
 {
     std::optional<EndpointAvailability> next;
     for (const auto& endpoint : m_directory.endpointsOf(request.service)) {
--- a/src/relay/Placement.h
+++ b/src/relay/Placement.h
@@ -27,7 +27,7 @@
 // How rate-limited endpoints are treated.
 enum class LimitedEndpoints {
     Admitted, // Used with a surcharge; those without an available permit are left out.
-    LeftOut, // Left out, for requests that are optional.
+    Excluded, // Left out, for requests that are optional.
     Unrestricted, // Used like any other endpoint: nothing is sent there.
 };
 
@@ -44,7 +44,7 @@
     // The versions of endpoints that may be chosen.
     VersionChoice version;
     // True for the target of a copy: an endpoint that is avoided or shutting down is not suitable.
-    bool mustBeSound { false };
+    bool mustBeHealthy { false };
     LimitedEndpoints limited { LimitedEndpoints::Admitted };
 };
 
@@ -59,7 +59,7 @@
         const PlacementRequest&, std::size_t count, Milliseconds now);
     // When the first endpoint accepts a request again if all candidates are backing off or rate-limited; empty when an
     // endpoint is neither, or when there is no candidate.
-    std::optional<EndpointAvailability> nextOpening(const PlacementRequest&, Milliseconds now) const;
+    std::optional<EndpointAvailability> nextAvailability(const PlacementRequest&, Milliseconds now) const;
     // The best of some engines that have reported their load, by forecast; null when none accepts work any more.
     std::shared_ptr<RelayEndpoint> chooseReported(
         const std::vector<std::shared_ptr<RelayEndpoint>>&, const EngineWork&, const EnginePace&, Milliseconds now);
--- a/src/relay/ReadingMark.h
+++ b/src/relay/PrefillScope.h
@@ -6,16 +6,16 @@
 
 namespace lupinknot::internal {
 
-class ReadingMark {
+class PrefillScope {
 public:
-    explicit ReadingMark(std::shared_ptr<RelayEndpoint> endpoint)
+    explicit PrefillScope(std::shared_ptr<RelayEndpoint> endpoint)
         : m_endpoint(std::move(endpoint))
     {
         m_endpoint->prefillStarted();
     }
-    ~ReadingMark() { m_endpoint->prefillEnded(); }
-    ReadingMark(const ReadingMark&) = delete;
-    ReadingMark& operator=(const ReadingMark&) = delete;
+    ~PrefillScope() { m_endpoint->prefillEnded(); }
+    PrefillScope(const PrefillScope&) = delete;
+    PrefillScope& operator=(const PrefillScope&) = delete;
 
 private:
     const std::shared_ptr<RelayEndpoint> m_endpoint;
--- a/src/relay/RelayDaemon.h
+++ b/src/relay/RelayDaemon.h
@@ -64,7 +64,7 @@
     // VMs do not count this VM, or the previous process of this VM may have spent the share.
     void delayRetrySlack(Milliseconds time)
     {
-        m_settings.retrySlackFrom = m_clock.now() + time + m_settings.retryWindow;
+        m_settings.retrySlackStartsAt = m_clock.now() + time + m_settings.retryWindow;
     }
     Rollouts& rollouts() { return m_context.rollouts; }
     // Starts to take part in a roll-out. Returns whether the order is new.
--- a/src/relay/RelayEndpoint.cpp
+++ b/src/relay/RelayEndpoint.cpp
@@ -31,13 +31,13 @@
 RelayEndpoint::~RelayEndpoint() { closeKeptConnections(); }
 
 std::shared_ptr<ClientConnection> RelayEndpoint::takeConnection(
-    Milliseconds now, Milliseconds maxRest, Milliseconds margin)
+    Milliseconds now, Milliseconds maxIdleTime, Milliseconds margin)
 {
     while (!m_kept.empty()) {
         const auto kept = std::move(m_kept.back());
         m_kept.pop_back();
         const auto announced = kept.connection->peerIdleTimeout();
-        const auto longest = announced ? std::min(maxRest, *announced - margin) : maxRest;
+        const auto longest = announced ? std::min(maxIdleTime, *announced - margin) : maxIdleTime;
         if (kept.connection->isIdle() && now - kept.since <= longest)
             return kept.connection;
         kept.connection->close();
@@ -164,7 +164,7 @@
         .write();
 }
 
-void RelayEndpoint::noteLife(Milliseconds now)
+void RelayEndpoint::noteAlive(Milliseconds now)
 {
     m_lastLife = now;
     m_avoidUntil = std::min(m_avoidUntil, now);
--- a/src/relay/RelayEndpoint.h
+++ b/src/relay/RelayEndpoint.h
@@ -30,8 +30,8 @@
     void updateEntry(EndpointEntry, Milliseconds now);
 
     // The most recently used idle connection that has not been idle for too long, or a new connection. The limit is
-    // maxRest or, if shorter, the idle timeout that the endpoint announced less the margin.
-    std::shared_ptr<ClientConnection> takeConnection(Milliseconds now, Milliseconds maxRest, Milliseconds margin);
+    // maxIdleTime or, if shorter, the idle timeout that the endpoint announced less the margin.
+    std::shared_ptr<ClientConnection> takeConnection(Milliseconds now, Milliseconds maxIdleTime, Milliseconds margin);
     std::shared_ptr<ClientConnection> openConnection();
     // Keeps the connection if it can carry another request, and closes it otherwise.
     void giveBack(const std::shared_ptr<ClientConnection>&, Milliseconds now);
@@ -41,8 +41,8 @@
     void callStarted() { ++m_inFlight; }
     void callEnded() { --m_inFlight; }
 
-    // Prompts of this VM that the endpoint is prefilling; see ReadingMark.
-    unsigned promptsBeingRead() const { return m_promptsBeingRead; }
+    // Prompts of this VM that the endpoint is prefilling; see PrefillScope.
+    unsigned promptsInPrefill() const { return m_promptsBeingRead; }
     void prefillStarted() { ++m_promptsBeingRead; }
     void prefillEnded() { --m_promptsBeingRead; }
     // The last load report and its time; null when the endpoint has never been probed.
@@ -83,9 +83,9 @@
     void avoidUntil(Milliseconds instant) { m_avoidUntil = std::max(m_avoidUntil, instant); }
     bool isAvoided(Milliseconds now) const { return now < m_avoidUntil; }
     // An answer or event has arrived: the endpoint is alive.
-    void noteLife(Milliseconds now);
+    void noteAlive(Milliseconds now);
     // When the endpoint was last known to be alive: when it was first listed, or later.
-    Milliseconds lastLife() const { return m_lastLife; }
+    Milliseconds lastAliveAt() const { return m_lastLife; }
 
 private:
     struct KeptConnection {
--- a/src/relay/RelaySettings.h
+++ b/src/relay/RelaySettings.h
@@ -30,7 +30,7 @@
     double retrySlackShare { 1.0 / 10 };
     // Before this time the VM uses no share of the fixed number, and only a share of what its requests add to the
     // budget: retries that its previous process has sent may still count.
-    Milliseconds retrySlackFrom { 0 };
+    Milliseconds retrySlackStartsAt { 0 };
     double retryShareAfterStart { 0.7 };
     // Share of the budget that VMs use; the rest makes up for VMs that count at different times and for rounding up.
     double retryShare { 0.87 };
@@ -49,11 +49,11 @@
     Milliseconds longestHedgeDelay { 2000 };
     // Longest idle time after which a kept-alive connection still carries a call that must not run twice. The peer may
     // close an idle connection at any time, and a call that is sent while it does may have run.
-    Milliseconds maxRestForSingleRun { 1500 };
+    Milliseconds maxIdleTimeForSingleRun { 1500 };
     // The same for calls that may run again.
-    Milliseconds maxRest { 4000 };
+    Milliseconds maxIdleTime { 4000 };
     // How long before the peer's announced close a kept-alive connection is closed.
-    Milliseconds restMargin { 700 };
+    Milliseconds idleTimeoutMargin { 700 };
 
     // Silence of a stream after which its engine is probed, until the timing of the service is known. Events come every
     // 30 ms, or every 150 ms while the engine processes another prompt.
@@ -89,12 +89,12 @@
 
     // Number of engines whose load is queried before a prompt is sent to one of them: the best according to what this
     // VM knows. Each query has a cost (docs/POLICY.md has the trials).
-    std::size_t surveySize { 4 };
+    std::size_t loadProbeSize { 4 };
     // Timeout of a load query. Within a zone a query takes 1 to 2 ms, and processing the prompt then takes some hundred
     // milliseconds.
-    Milliseconds surveyTimeout { 60 };
+    Milliseconds loadProbeTimeout { 60 };
     // After the first answer, the others get the same time again, but no less than this.
-    Milliseconds surveyShortestWait { 5 };
+    Milliseconds minLoadProbeWait { 5 };
 
     // How many more calls than others the engine may have that a prompt's hash prefers: for a new request, and for a
     // caller that resumes a stream after an event, whose prompt that engine has probably cached.
@@ -114,7 +114,7 @@
     Milliseconds avoidZone { 1000 };
     // How long an endpoint of such a zone is doubted if nothing has been heard of it since: a failed one stays in the
     // list for three of its heartbeats of 1.2 s.
-    Milliseconds doubtAfterZoneFailure { 4000 };
+    Milliseconds suspectAfterZoneFailure { 4000 };
     // How long an endpoint whose entry has disappeared may serve as a last resort: entries also expire while the list's
     // source is unavailable. The adapter sets it from the time that the deployment allows and the maximum age of the
     // list's data.
@@ -122,10 +122,10 @@
     // How long endpoints stay that are missing in the list after its source was restored from an older copy: endpoints
     // that were added after the copy write their entries again, and the update takes time to arrive. The adapter sets
     // this and the next one from the interval at which endpoints write their entries.
-    Milliseconds missingEndpointsStay { 2400 };
+    Milliseconds keepMissingEndpointsFor { 2400 };
     // The same for endpoints that the restored list contains although they are known to have gone: the entry of an
     // endpoint that is no longer alive expires within this time.
-    Milliseconds goneEndpointsStay { 4100 };
+    Milliseconds ignoreGoneEndpointsFor { 4100 };
 
     // Default time after which a refused caller is told to retry.
     Milliseconds retryAfter { 250 };
--- a/src/relay/RetryBudget.cpp
+++ b/src/relay/RetryBudget.cpp
@@ -21,7 +21,7 @@
 {
     const bool isOwnCounted = !m_requests.empty() && now - requestedAt <= m_settings.retryWindow;
     const auto others = static_cast<double>(m_requests.size() - (isOwnCounted ? 1 : 0));
-    const bool hasJustStarted = now < m_settings.retrySlackFrom;
+    const bool hasJustStarted = now < m_settings.retrySlackStartsAt;
     const auto earned = m_settings.retryRatio * others * (hasJustStarted ? m_settings.retryShareAfterStart : 1);
     const auto granted = hasJustStarted ? 0 : m_settings.retrySlack * m_settings.retrySlackShare;
     return m_settings.retryShare * (earned + granted);
--- a/src/relay/RetryBudget.h
+++ b/src/relay/RetryBudget.h
@@ -12,7 +12,7 @@
 // only a precaution, or that follow from a full service, which affects all VMs at once, leave some of it for those.
 //
 // A VM that has just started takes no share of the fixed number for a while, and a smaller share of what its requests
-// earn (RelaySettings::retrySlackFrom): it knows neither what its previous process has spent nor whether other VMs
+// earn (RelaySettings::retrySlackStartsAt): it knows neither what its previous process has spent nor whether other VMs
 // count it already.
 //
 // One budget per service. Used on the relay's thread only.
--- a/src/relay/RunMover.cpp
+++ b/src/relay/RunMover.cpp
@@ -79,8 +79,8 @@
     const auto target = m_context.placement.choose({ .service = m_request.service,
                                                        .excluded = std::move(excluded),
                                                        .version = m_rollout.next(),
-                                                       .mustBeSound = true,
-                                                       .limited = LimitedEndpoints::LeftOut },
+                                                       .mustBeHealthy = true,
+                                                       .limited = LimitedEndpoints::Excluded },
         now);
     auto& budget = m_context.retryBudget(m_request.service);
     if (!target || !budget.take(RetryPurpose::Proactive, m_request.admittedAt, now))
--- a/src/relay/RunWatch.cpp
+++ b/src/relay/RunWatch.cpp
@@ -70,7 +70,7 @@
         return;
     }
     // Events of other streams also show that the engine is alive.
-    const auto silence = now - std::max(m_run->lastActivity, m_run->endpoint->lastLife());
+    const auto silence = now - std::max(m_run->lastActivity, m_run->endpoint->lastAliveAt());
     const bool mayProbe = m_context.has(Policy::LivenessQuestions) && !m_run->endpoint->isInBackOff(now);
     if (mayProbe && silence >= silenceBeforeQuestion(now) && now >= m_nextProbeAt && !m_probe)
         sendProbe();
@@ -109,7 +109,7 @@
         return;
     const auto now = m_context.now();
     if (outcome.answer) {
-        m_run->endpoint->noteLife(now);
+        m_run->endpoint->noteAlive(now);
         m_run->endpoint->noteSignals(m_context.protocol.decodeAnswer(*outcome.answer), now);
     } else if (m_request.route->mayRunAgain())
         reportSilent();
--- a/src/relay/ServicePace.h
+++ b/src/relay/ServicePace.h
@@ -17,7 +17,7 @@
     Estimate callTime { 75 };
     // Milliseconds per prompt token, from sending a request to its first event. Default: that of an engine that
     // prefills 5 tokens per millisecond and nothing else.
-    Estimate readTimePerToken { 0.2 };
+    Estimate prefillTimePerToken { 0.2 };
     // Milliseconds between two events of a run, averaged over the run. Default: that of the first customers' engines
     // with a single run.
     Estimate eventInterval { 31 };
@@ -27,15 +27,15 @@
     Estimate promptTokens { 5000 };
 
     // Milliseconds from a stream's response header to its first event. Default: they arrive together.
-    Estimate headLead { 1 };
+    Estimate headerLead { 1 };
     // True once a response header has arrived before any event: an engine that has sent no header for a request has not
     // started it.
-    bool showsBeginnings { false };
+    bool headersShowStart { false };
 
     // The input of engine forecasts: the median prompt, and the pace of requests that had an engine to themselves.
     EnginePace engine() const
     {
-        return { readTimePerToken.quantile(undisturbedQuantile), promptTokens.quantile(median) };
+        return { prefillTimePerToken.quantile(undisturbedQuantile), promptTokens.quantile(median) };
     }
 
     // How long a run may be silent before its engine is probed for liveness. While an engine prefills a prompt, its
@@ -50,23 +50,23 @@
     // The same before a run's first event, while its prompt is prefilled or queued.
     Milliseconds silenceBeforeFirstEvent(double tokens) const
     {
-        return milliseconds(firstEventTolerance * readTimePerToken.quantile(upperQuartile) * tokens);
+        return milliseconds(firstEventTolerance * prefillTimePerToken.quantile(upperQuartile) * tokens);
     }
 
     // The median time to a stream's first event for a prompt of so many tokens.
-    Milliseconds usualFirstEvent(double tokens) const
+    Milliseconds medianTimeToFirstEvent(double tokens) const
     {
-        return milliseconds(readTimePerToken.quantile(median) * tokens);
+        return milliseconds(prefillTimePerToken.quantile(median) * tokens);
     }
 
     // Time after which an unanswered call is hedged.
     Milliseconds hedgeDelay() const { return milliseconds(callTime.quantile(hedgeQuantile)); }
 
     // True if the service sends headers when it accepts a request, long before the engine starts it.
-    bool sendsHeadsEarly() const { return headLead.quantile(median) > maxHeaderLead; }
+    bool sendsHeadersEarly() const { return headerLead.quantile(median) > maxHeaderLead; }
 
     // The median time of a call.
-    Milliseconds usualCallTime() const { return milliseconds(callTime.quantile(median)); }
+    Milliseconds medianCallTime() const { return milliseconds(callTime.quantile(median)); }
 
 private:
     static Milliseconds milliseconds(double time) { return Milliseconds { static_cast<std::int64_t>(time) }; }
--- a/src/relay/StreamPace.cpp
+++ b/src/relay/StreamPace.cpp
@@ -35,7 +35,7 @@
 {
     const auto& pace = m_context.pace(m_request.service);
     const auto reading
-        = isPromptKept ? 0.0 : pace.readTimePerToken.quantile(fastestQuantile) * m_request.fields.promptTokens;
+        = isPromptKept ? 0.0 : pace.prefillTimePerToken.quantile(fastestQuantile) * m_request.fields.promptTokens;
     const auto minEvents = pace.answerShare.quantile(fastestQuantile) * static_cast<double>(maxEvents());
     const auto missing = std::max(minEvents - static_cast<double>(lastEventId), 0.0);
     const auto needed = reading + missing * pace.eventInterval.quantile(fastestQuantile);
@@ -57,15 +57,15 @@
 void StreamPace::recordFirstEvent(const StreamRun& run, Milliseconds now)
 {
     const auto lead = std::max(now - run.headReceivedAt.value_or(now), Milliseconds { 1 });
-    m_context.pace(m_request.service).headLead.add(static_cast<double>(lead.count()), now);
+    m_context.pace(m_request.service).headerLead.add(static_cast<double>(lead.count()), now);
 }
 
 UnfinishedRun StreamPace::describeUnfinishedRun(const StreamRun& run, FailureKind kind, Milliseconds now)
 {
     auto& pace = m_context.pace(m_request.service);
-    pace.showsBeginnings = pace.showsBeginnings || (run.headReceivedAt && !run.hasEvent);
-    const auto withoutHead = pace.showsBeginnings ? RunStart::NotYet : RunStart::Hidden;
-    const auto withHead = pace.sendsHeadsEarly() ? RunStart::Hidden : RunStart::Begun;
+    pace.headersShowStart = pace.headersShowStart || (run.headReceivedAt && !run.hasEvent);
+    const auto withoutHead = pace.headersShowStart ? RunStart::NotYet : RunStart::Hidden;
+    const auto withHead = pace.sendsHeadersEarly() ? RunStart::Hidden : RunStart::Begun;
     const auto withoutEvent = run.headReceivedAt ? withHead : withoutHead;
     const auto since = run.firstEventAt.value_or(run.headReceivedAt.value_or(run.startedAt));
     // A broken connection shows that the engine was alive until then; silence does not.
@@ -81,7 +81,7 @@
     if (tokens == 0 || m_request.fields.lastEventId || run.isFromCopy || !m_context.has(Policy::LearnedPace))
         return;
     auto& pace = m_context.pace(m_request.service);
-    pace.readTimePerToken.add(static_cast<double>((now - run.startedAt).count()) / tokens, now);
+    pace.prefillTimePerToken.add(static_cast<double>((now - run.startedAt).count()) / tokens, now);
     pace.promptTokens.add(tokens, now);
 }
 
--- a/src/relay/WholeAnswerCall.cpp
+++ b/src/relay/WholeAnswerCall.cpp
@@ -78,7 +78,7 @@
 PlacementRequest WholeAnswerCall::healthyEndpoint()
 {
     auto placementRequest = anyEndpoint();
-    placementRequest.mustBeSound = true;
+    placementRequest.mustBeHealthy = true;
     return placementRequest;
 }
 
@@ -99,7 +99,7 @@
 {
     const auto now = m_context.now();
     auto other = healthyEndpoint();
-    other.limited = LimitedEndpoints::LeftOut;
+    other.limited = LimitedEndpoints::Excluded;
     // If another endpoint can serve the call at once, it does not wait for its send slot at this one.
     const bool waits = mayWait() && !m_context.placement.choose(other, now);
     const auto maxWait = waits ? timeToWait(waitingCall(), now) : Milliseconds { 0 };
@@ -133,7 +133,7 @@
     fields.organisation = m_request.organisation;
     const auto request = m_context.protocol.encodeForward(m_request.exchange->request(), fields);
     const auto& settings = m_context.settings;
-    const auto maxRest = m_request.route->mayRunAgain() ? settings.maxRest : settings.maxRestForSingleRun;
+    const auto maxIdleTime = m_request.route->mayRunAgain() ? settings.maxIdleTime : settings.maxIdleTimeForSingleRun;
     LogEvent("request.sent", !m_attempts.empty() ? LogImportance::Notable : LogImportance::Routine)
         .text("request", m_request.fields.requestId)
         .text("endpoint", endpoint->entry().id)
@@ -147,8 +147,8 @@
     auto attempt = std::make_unique<Attempt>();
     attempt->tookRetry = tookRetry;
     auto& stored = *m_attempts.emplace_back(std::move(attempt));
-    stored.call
-        = EndpointCall::start(m_context, endpoint, request, { m_request.fields.requestId, maxRest }, weak_from_this());
+    stored.call = EndpointCall::start(
+        m_context, endpoint, request, { m_request.fields.requestId, maxIdleTime }, weak_from_this());
     const bool isFirst = m_attempts.size() == 1 && m_waits == 0;
     if (isFirst && m_request.route->mayRunAgain() && m_context.has(Policy::SecondSendings))
         armHedge();
@@ -175,7 +175,7 @@
         return;
     // A hedge is only a precaution, so it is not sent to a rate-limited endpoint.
     auto placementRequest = anyEndpoint();
-    placementRequest.limited = LimitedEndpoints::LeftOut;
+    placementRequest.limited = LimitedEndpoints::Excluded;
     if (!sendNext(placementRequest, true))
         m_context.retryBudget(m_request.service).giveBack();
 }
@@ -243,7 +243,7 @@
         m_rollout.noteAnswer(*endpoint, AnswerQuality::Bad);
     else
         m_rollout.noteAnswerAfter(
-            *endpoint, m_context.now() - attempt.call->startedAt(), m_context.pace(m_request.service).usualCallTime());
+            *endpoint, m_context.now() - attempt.call->startedAt(), m_context.pace(m_request.service).medianCallTime());
     if (status >= firstServerError && m_request.route->mayRunAgain()) {
         LogEvent("request.endpoint-error")
             .text("request", m_request.fields.requestId)
@@ -354,8 +354,8 @@
 {
     auto placementRequest = anyEndpoint();
     placementRequest.excluded.clear();
-    return { waitingCall(), m_context.placement.nextOpening(placementRequest, m_context.now()),
-        m_context.pace(m_request.service).usualCallTime(), jitter(), lastReason };
+    return { waitingCall(), m_context.placement.nextAvailability(placementRequest, m_context.now()),
+        m_context.pace(m_request.service).medianCallTime(), jitter(), lastReason };
 }
 
 void WholeAnswerCall::waitForCapacity(RefusalReason lastReason)
@@ -374,7 +374,7 @@
         .text("request", m_request.fields.requestId)
         .text("reason", traitsOf(reason).name)
         .number("pause_ms", decision.pause.count())
-        .number("usual_call_ms", state.usualCallTime.count())
+        .number("usual_call_ms", state.medianCallTime.count())
         .number("time_left_ms", (m_request.deadline - now).count())
         .number("waiting", static_cast<std::int64_t>(m_context.waitingRequestLimit.count()))
         .write();
--- a/test/EndpointDirectoryTest.cpp
+++ b/test/EndpointDirectoryTest.cpp
@@ -159,14 +159,14 @@
     directory->noteFailure(*endpoints[0], now);
     directory->noteFailure(*endpoints[1], now);
     now += settings.avoidZone + Milliseconds { 1 };
-    endpoints[3]->noteLife(now);
+    endpoints[3]->noteAlive(now);
     directory->upsert(entry("e5", 5), now);
     CHECK(directory->isSuspected(*endpoints[2], now));
     CHECK_FALSE_TEXT(
         directory->isSuspected(*endpoints[3], now), "an endpoint that has answered since the failure is alive");
     CHECK_FALSE_TEXT(directory->isSuspected(*directory->find("e5"), now),
         "an endpoint that was first listed after the failure is alive");
-    now += settings.doubtAfterZoneFailure;
+    now += settings.suspectAfterZoneFailure;
     CHECK_FALSE(directory->isSuspected(*endpoints[2], now));
 }
 
@@ -218,12 +218,12 @@
 TEST(EndpointDirectory, ALaterIncarnationWithTheSameIdIsANewEndpoint)
 {
     auto first = entry("e1", 1);
-    first.born = 100;
+    first.startTime = 100;
     directory->upsert(first, now);
     const auto earlier = directory->find("e1");
     earlier->avoidUntil(now + Milliseconds { 5000 });
     auto second = first;
-    second.born = 200;
+    second.startTime = 200;
     directory->upsert(second, now);
     const auto later = directory->find("e1");
     CHECK_TEXT(later != earlier, "the later incarnation must not inherit the state of the earlier one");
@@ -237,11 +237,11 @@
 TEST(EndpointDirectory, IgnoresALateEntryOfAnEarlierIncarnation)
 {
     auto second = entry("e1", 1);
-    second.born = 200;
+    second.startTime = 200;
     directory->upsert(second, now);
     const auto present = directory->find("e1");
     auto first = entry("e1", 9);
-    first.born = 100;
+    first.startTime = 100;
     first.isDraining = true;
     directory->upsert(first, now);
     CHECK(directory->find("e1") == present);
@@ -252,12 +252,12 @@
 TEST(EndpointDirectory, AnEntryWithoutAStartTimeIsOfTheKnownIncarnation)
 {
     auto first = entry("e1", 1);
-    first.born = 100;
+    first.startTime = 100;
     directory->upsert(first, now);
     const auto present = directory->find("e1");
     directory->upsert(entry("e1", 1), now);
     CHECK(directory->find("e1") == present);
-    LONGS_EQUAL_TEXT(100, present->entry().born, "the known start time must be kept");
+    LONGS_EQUAL_TEXT(100, present->entry().startTime, "the known start time must be kept");
 }
 
 // An entry from another writer may name a service of its own together with an endpoint's address.
--- a/test/EngineForecastTest.cpp
+++ b/test/EngineForecastTest.cpp
@@ -24,8 +24,8 @@
 
 TEST(EngineForecast, PromptsInPrefillOrQueuedDelayTheRequest)
 {
-    LONGS_EQUAL_TEXT(1500, delay({ .promptsBeingRead = 1 }), "a prompt in prefill counts as half processed");
-    LONGS_EQUAL(3500, delay({ .promptsBeingRead = 1, .promptsWaiting = 2 }));
+    LONGS_EQUAL_TEXT(1500, delay({ .promptsInPrefill = 1 }), "a prompt in prefill counts as half processed");
+    LONGS_EQUAL(3500, delay({ .promptsInPrefill = 1, .promptsWaiting = 2 }));
 }
 
 TEST(EngineForecast, CountsTheSlowdownOfOtherRuns) { LONGS_EQUAL(1000 + 2 * 850, delay({ .generating = 2 })); }
@@ -33,13 +33,13 @@
 TEST(EngineForecast, CountsOwnPromptsMissingFromTheReportOnce)
 {
     LONGS_EQUAL(2000, delay({}, 1));
-    LONGS_EQUAL_TEXT(1500, delay({ .promptsBeingRead = 1 }, 1), "the report already contains this prompt");
+    LONGS_EQUAL_TEXT(1500, delay({ .promptsInPrefill = 1 }, 1), "the report already contains this prompt");
 }
 
 TEST(EngineForecast, AnEngineWithoutMemoryComesLast)
 {
     const EngineReport full { .memoryUsed = 50000, .memoryTotal = 55000 };
-    const EngineReport busy { .promptsBeingRead = 1, .promptsWaiting = 9, .generating = 3, .memoryTotal = 55000 };
+    const EngineReport busy { .promptsInPrefill = 1, .promptsWaiting = 9, .generating = 3, .memoryTotal = 55000 };
     CHECK(delay(full) > delay(busy));
 }
 
--- a/test/PlacementTest.cpp
+++ b/test/PlacementTest.cpp
@@ -77,14 +77,14 @@
 {
     for (std::uint64_t seed = 0; seed < 30; ++seed)
         STRCMP_EQUAL(
-            "b", choose({ .zonesToAvoid = { "a" }, .mustBeSound = true }, seed)->entry().availabilityZone.c_str());
+            "b", choose({ .zonesToAvoid = { "a" }, .mustBeHealthy = true }, seed)->entry().availabilityZone.c_str());
 }
 
 TEST(Placement, PutsNoCopyAtAnAvoidedEndpoint)
 {
     for (const auto& endpoint : directory->endpointsOf("s"))
         endpoint->avoidUntil(now + Milliseconds { 1 });
-    CHECK(!choose({ .mustBeSound = true }));
+    CHECK(!choose({ .mustBeHealthy = true }));
     CHECK_TEXT(choose({}) != nullptr, "an avoided endpoint must still be chosen when there is no other");
 }
 
--- a/test/PlatformCallProtocolTest.cpp
+++ b/test/PlatformCallProtocolTest.cpp
@@ -111,7 +111,7 @@
     const auto load = protocol.decodeLoad({ 200, {},
         R"({"waiting":2,"running":3,"kv-used":41000,"kv-total":55000,"runs":[["a",5,1,5],["b",6,2,5]],"next-token":9})" });
     CHECK(load.has_value());
-    LONGS_EQUAL_TEXT(1, load->promptsBeingRead, "a run that is not listed is in prefill");
+    LONGS_EQUAL_TEXT(1, load->promptsInPrefill, "a run that is not listed is in prefill");
     LONGS_EQUAL(2, load->promptsWaiting);
     LONGS_EQUAL(2, load->generating);
     LONGS_EQUAL(41000, load->memoryUsed);
@@ -133,11 +133,11 @@
     const auto load = protocol.decodeLoad({ 200, {},
         R"({"waiting":18446744073709551615,"running":99999999,"kv-used":18446744073709551615,"kv-total":-1,"runs":[1]})" });
     CHECK(load.has_value());
-    CHECK(load->promptsWaiting <= 1000 && load->promptsBeingRead <= 1000);
+    CHECK(load->promptsWaiting <= 1000 && load->promptsInPrefill <= 1000);
     CHECK(load->memoryUsed <= 1000000000);
     LONGS_EQUAL(0, load->memoryTotal);
     LONGS_EQUAL_TEXT(0,
-        protocol.decodeLoad({ 200, {}, R"({"waiting":0,"running":1,"runs":[1,2,3]})" })->promptsBeingRead,
+        protocol.decodeLoad({ 200, {}, R"({"waiting":0,"running":1,"runs":[1,2,3]})" })->promptsInPrefill,
         "the list has more runs than are running");
 }
 
--- a/test/RetryBudgetTest.cpp
+++ b/test/RetryBudgetTest.cpp
@@ -96,12 +96,12 @@
 
 TEST(RetryBudget, TakesNoShareOfTheFixedNumberJustAfterAStart)
 {
-    settings.retrySlackFrom = now + Milliseconds { 1 };
+    settings.retrySlackStartsAt = now + Milliseconds { 1 };
     RetryBudget budget(settings);
     budget.noteRequest(now);
     budget.noteRequest(now);
     LONGS_EQUAL(1, takeAll(budget));
-    now = settings.retrySlackFrom;
+    now = settings.retrySlackStartsAt;
     LONGS_EQUAL(2, takeAll(budget));
 }
 
@@ -134,12 +134,12 @@
 {
     settings.retryRatio = 1;
     settings.retryShareAfterStart = 0.5;
-    settings.retrySlackFrom = now + Milliseconds { 1 };
+    settings.retrySlackStartsAt = now + Milliseconds { 1 };
     RetryBudget budget(settings);
     for (int i = 0; i < 20; ++i)
         budget.noteRequest(now);
     LONGS_EQUAL(10, takeAll(budget));
-    now = settings.retrySlackFrom;
+    now = settings.retrySlackStartsAt;
     LONGS_EQUAL(12, takeAll(budget));
 }
 
--- a/test/ServicePaceTest.cpp
+++ b/test/ServicePaceTest.cpp
@@ -27,7 +27,7 @@
 TEST(ServicePace, WaitsLongerForSlowerEngines)
 {
     fill(pace.eventInterval, 62);
-    fill(pace.readTimePerToken, 0.4);
+    fill(pace.prefillTimePerToken, 0.4);
     LONGS_EQUAL(341, pace.silenceBeforeQuestion(Milliseconds { 170 }).count());
     LONGS_EQUAL(3000, pace.silenceBeforeFirstEvent(5000).count());
     LONGS_EQUAL(2000, prefillTime({ 5000, 0 }, pace.engine()).count());
--- a/test/StoreHistoryTest.cpp
+++ b/test/StoreHistoryTest.cpp
@@ -245,11 +245,11 @@
     list.restore({ RestoredList::entry(1) });
     CHECK(list.isListed(2));
     list.directory.upsert(RestoredList::entry(2), list.now);
-    list.pass(list.settings.missingEndpointsStay);
+    list.pass(list.settings.keepMissingEndpointsFor);
     CHECK_TEXT(list.isListed(2), "e2 has written its entry again");
 
     list.restore({ RestoredList::entry(1) });
-    list.pass(list.settings.missingEndpointsStay - Milliseconds { 1 });
+    list.pass(list.settings.keepMissingEndpointsFor - Milliseconds { 1 });
     CHECK(list.isListed(2));
     list.pass(Milliseconds { 1 });
     CHECK_FALSE_TEXT(list.isListed(2), "e2 has had time to write its entry again and did not");
@@ -260,7 +260,7 @@
 {
     RestoredList list(*ioContext);
     list.restore({ RestoredList::entry(1) });
-    list.now += 2 * list.settings.missingEndpointsStay;
+    list.now += 2 * list.settings.keepMissingEndpointsFor;
     list.directory.dropExpired(list.now);
     CHECK(list.isListed(2));
 }
@@ -272,11 +272,11 @@
     list.restore({ RestoredList::entry(1), RestoredList::entry(2) });
     CHECK_FALSE(list.isListed(2));
     list.directory.change({ { { .id = "e2" }, true } }, list.now);
-    list.pass(list.settings.goneEndpointsStay);
+    list.pass(list.settings.ignoreGoneEndpointsFor);
     CHECK_FALSE_TEXT(list.isListed(2), "the entry of e2 has expired");
 
     list.restore({ RestoredList::entry(1), RestoredList::entry(2) });
-    list.pass(list.settings.goneEndpointsStay);
+    list.pass(list.settings.ignoreGoneEndpointsFor);
     CHECK_TEXT(list.isListed(2), "the entry of e2 has not expired, so e2 is alive");
 }
 
@@ -300,7 +300,7 @@
     list.directory.upsert(leaving, list.now);
     list.directory.remove("e2", list.now);
     list.restore({ RestoredList::entry(1), RestoredList::entry(2) });
-    list.pass(list.settings.goneEndpointsStay);
+    list.pass(list.settings.ignoreGoneEndpointsFor);
     const auto endpoint = list.directory.find("e2");
     CHECK(endpoint && !endpoint->mayTakeWork(list.now, list.settings.leavingEndpointGrace));
 }
--- a/test/WaitForPlaceTest.cpp
+++ b/test/WaitForPlaceTest.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr Milliseconds usualCallTime { 60 };
+constexpr Milliseconds medianCallTime { 60 };
 
 // Results of replaying a load.
 struct Outcome {
@@ -60,7 +60,7 @@
         }
         now += attemptTime;
         const WaitingCall call { caller.arrivedAt, caller.deadline, caller.rounds };
-        const auto decision = waitForCapacity(call, usualCallTime, spread(random), now);
+        const auto decision = waitForCapacity(call, medianCallTime, spread(random), now);
         if (policy == Policy::WaitForCapacity && decision.waits) {
             ++caller.rounds;
             events.push({ now + decision.pause, caller });
@@ -99,13 +99,13 @@
 TEST(WaitForCapacity, PauseDoublesAndWaitEndsAtHalfOfTheTime)
 {
     WaitingCall call { Milliseconds { 0 }, Milliseconds { 1000 }, 0 };
-    LONGS_EQUAL(60, waitForCapacity(call, usualCallTime, 0.5, Milliseconds { 10 }).pause.count());
+    LONGS_EQUAL(60, waitForCapacity(call, medianCallTime, 0.5, Milliseconds { 10 }).pause.count());
     call.rounds = 2;
-    LONGS_EQUAL(240, waitForCapacity(call, usualCallTime, 0.5, Milliseconds { 10 }).pause.count());
+    LONGS_EQUAL(240, waitForCapacity(call, medianCallTime, 0.5, Milliseconds { 10 }).pause.count());
     call.rounds = 40;
-    LONGS_EQUAL(maxPause.count(), waitForCapacity(call, usualCallTime, 0.5, Milliseconds { 10 }).pause.count());
-    CHECK(waitForCapacity(call, usualCallTime, 0.5, Milliseconds { 100 }).waits);
-    CHECK_FALSE_TEXT(waitForCapacity(call, usualCallTime, 0.5, Milliseconds { 101 }).waits,
+    LONGS_EQUAL(maxPause.count(), waitForCapacity(call, medianCallTime, 0.5, Milliseconds { 10 }).pause.count());
+    CHECK(waitForCapacity(call, medianCallTime, 0.5, Milliseconds { 100 }).waits);
+    CHECK_FALSE_TEXT(waitForCapacity(call, medianCallTime, 0.5, Milliseconds { 101 }).waits,
         "the other half of its time is reserved for a retry elsewhere");
 }
 
@@ -151,7 +151,7 @@
             const auto place = std::min_element(freeAt.begin(), freeAt.end());
             if (*place > now)
                 return false;
-            *place = now + usualCallTime;
+            *place = now + medianCallTime;
             return true;
         });
     };
@@ -177,12 +177,12 @@
 TEST(WaitForCapacity, WaitsForLimitedEndpointOnlyIfAvailableInTime)
 {
     const WaitingCall call { Milliseconds { 0 }, Milliseconds { 1500 }, 0 };
-    const Milliseconds usualCallTime { 50 };
-    const auto soon = waitForAvailability(call, Milliseconds { 600 }, usualCallTime, 0, Milliseconds { 100 });
+    const Milliseconds medianCallTime { 50 };
+    const auto soon = waitForAvailability(call, Milliseconds { 600 }, medianCallTime, 0, Milliseconds { 100 });
     CHECK(soon.waits);
     LONGS_EQUAL(600, soon.pause.count());
-    CHECK_FALSE(waitForAvailability(call, Milliseconds { 700 }, usualCallTime, 0, Milliseconds { 100 }).waits);
+    CHECK_FALSE(waitForAvailability(call, Milliseconds { 700 }, medianCallTime, 0, Milliseconds { 100 }).waits);
     LONGS_EQUAL_TEXT(minPause.count(),
-        waitForAvailability(call, Milliseconds { 0 }, usualCallTime, 0, Milliseconds { 100 }).pause.count(),
+        waitForAvailability(call, Milliseconds { 0 }, medianCallTime, 0, Milliseconds { 100 }).pause.count(),
         "a request that missed its slot should not retry in a tight loop");
 }
