--- a/src/relay/WholeAnswerCall.cpp
+++ b/src/relay/BufferedCall.cpp
@@ -1,4 +1,4 @@
-#include "relay/WholeAnswerCall.h"
+#include "relay/BufferedCall.h"
 
 #include "admission/AttemptAdmission.h"
 #include "common/EventLog.h"
@@ -23,13 +23,13 @@
 
 } // namespace
 
-void WholeAnswerCall::serve(RelayContext& context, RelayRequest request)
+void BufferedCall::serve(RelayContext& context, RelayRequest request)
 {
-    const std::shared_ptr<WholeAnswerCall> call(new WholeAnswerCall(context, std::move(request)));
+    const std::shared_ptr<BufferedCall> call(new BufferedCall(context, std::move(request)));
     call->begin();
 }
 
-WholeAnswerCall::WholeAnswerCall(RelayContext& context, RelayRequest request)
+BufferedCall::BufferedCall(RelayContext& context, RelayRequest request)
     : m_context(context)
     , m_request(std::move(request))
     , m_rollout(m_context, m_request)
@@ -40,9 +40,9 @@
 {
 }
 
-WholeAnswerCall::~WholeAnswerCall() = default;
+BufferedCall::~BufferedCall() = default;
 
-void WholeAnswerCall::begin()
+void BufferedCall::begin()
 {
     m_crashWatch.begin([weak = weak_from_this()] {
         if (const auto self = weak.lock(); self && !self->m_isFinished)
@@ -63,26 +63,26 @@
         waitForCapacity(RefusalReason::NoEndpoint);
 }
 
-bool WholeAnswerCall::mayHaveArrived() const
+bool BufferedCall::mayHaveArrived() const
 {
     return std::any_of(m_attempts.begin(), m_attempts.end(), [](const std::unique_ptr<Attempt>& attempt) {
         return !attempt->call || !attempt->call->isOver() || attempt->call->hasSent();
     });
 }
 
-PlacementRequest WholeAnswerCall::anyEndpoint()
+PlacementRequest BufferedCall::anyEndpoint()
 {
     return { .service = m_request.service, .excluded = m_triedEndpoints, .version = m_rollout.next() };
 }
 
-PlacementRequest WholeAnswerCall::healthyEndpoint()
+PlacementRequest BufferedCall::healthyEndpoint()
 {
     auto placementRequest = anyEndpoint();
     placementRequest.mustBeHealthy = true;
     return placementRequest;
 }
 
-bool WholeAnswerCall::sendNext(const PlacementRequest& placementRequest, bool tookRetry)
+bool BufferedCall::sendNext(const PlacementRequest& placementRequest, bool tookRetry)
 {
     const auto now = m_context.now();
     const auto endpoint = m_context.placement.choose(placementRequest, now);
@@ -95,7 +95,7 @@
     return true;
 }
 
-void WholeAnswerCall::askForPermit(const std::shared_ptr<RelayEndpoint>& endpoint, bool tookRetry)
+void BufferedCall::askForPermit(const std::shared_ptr<RelayEndpoint>& endpoint, bool tookRetry)
 {
     const auto now = m_context.now();
     auto other = healthyEndpoint();
@@ -111,7 +111,7 @@
         });
 }
 
-void WholeAnswerCall::permitAnswered(const std::shared_ptr<RelayEndpoint>& endpoint, bool isGranted, bool tookRetry)
+void BufferedCall::permitAnswered(const std::shared_ptr<RelayEndpoint>& endpoint, bool isGranted, bool tookRetry)
 {
     m_permit.reset();
     if (isGranted) {
@@ -123,7 +123,7 @@
     recover(RefusalReason::EndpointsLimited);
 }
 
-void WholeAnswerCall::sendTo(const std::shared_ptr<RelayEndpoint>& endpoint, bool tookRetry)
+void BufferedCall::sendTo(const std::shared_ptr<RelayEndpoint>& endpoint, bool tookRetry)
 {
     const auto now = m_context.now();
     m_triedEndpoints.push_back(endpoint);
@@ -154,11 +154,11 @@
         armHedge();
 }
 
-void WholeAnswerCall::armHedge()
+void BufferedCall::armHedge()
 {
     const auto& settings = m_context.settings;
     const auto usual = m_context.pace(m_request.service).hedgeDelay();
-    m_hedgeTimer.expires_after(std::clamp(usual, settings.shortestHedgeDelay, settings.longestHedgeDelay));
+    m_hedgeTimer.expires_after(std::clamp(usual, settings.minHedgeDelay, settings.maxHedgeDelay));
     m_hedgeTimer.async_wait([weak = weak_from_this()](boost::system::error_code error) {
         const auto self = weak.lock();
         if (!error && self && !self->m_isFinished)
@@ -166,7 +166,7 @@
     });
 }
 
-void WholeAnswerCall::hedge()
+void BufferedCall::hedge()
 {
     // Do not risk a second endpoint with a request that may have crashed the earlier ones.
     if (!hasOpenAttempt() || m_possibleRuns >= m_request.route->maxAttempts || m_crashWatch.isSuspect())
@@ -180,20 +180,20 @@
         m_context.retryBudget(m_request.service).giveBack();
 }
 
-WholeAnswerCall::Attempt& WholeAnswerCall::attemptOf(const EndpointCall& call)
+BufferedCall::Attempt& BufferedCall::attemptOf(const EndpointCall& call)
 {
     const auto found = std::find_if(m_attempts.begin(), m_attempts.end(),
         [&call](const std::unique_ptr<Attempt>& attempt) { return attempt->call.get() == &call; });
     return **found;
 }
 
-bool WholeAnswerCall::hasOpenAttempt() const
+bool BufferedCall::hasOpenAttempt() const
 {
     return std::any_of(m_attempts.begin(), m_attempts.end(),
         [](const std::unique_ptr<Attempt>& attempt) { return !attempt->call || !attempt->call->isOver(); });
 }
 
-void WholeAnswerCall::callHead(EndpointCall& call, const HttpResponse& head, const AnswerFields& fields)
+void BufferedCall::callHead(EndpointCall& call, const HttpResponse& head, const AnswerFields& fields)
 {
     auto& attempt = attemptOf(call);
     attempt.answer.status = head.status;
@@ -201,22 +201,19 @@
     attempt.fields = fields;
 }
 
-void WholeAnswerCall::callBody(EndpointCall& call, std::string_view piece)
-{
-    attemptOf(call).answer.body.append(piece);
-}
+void BufferedCall::callBody(EndpointCall& call, std::string_view piece) { attemptOf(call).answer.body.append(piece); }
 
-void WholeAnswerCall::callEnded(EndpointCall& call)
+void BufferedCall::callEnded(EndpointCall& call)
 {
     if (!m_isFinished)
         handleResponse(attemptOf(call));
 }
 
-void WholeAnswerCall::handleResponse(Attempt& attempt)
+void BufferedCall::handleResponse(Attempt& attempt)
 {
     const auto& endpoint = attempt.call->endpoint();
     const auto status = attempt.answer.status;
-    if (attempt.fields.isNotRun || attempt.fields.isOtherEndpoint) {
+    if (attempt.fields.isNotRun || attempt.fields.isOtherIncarnation) {
         --m_possibleRuns;
         LogEvent("request.turned-away")
             .text("request", m_request.fields.requestId)
@@ -226,10 +223,10 @@
             .flag("leaving", attempt.fields.isLeaving)
             .write();
         const auto now = m_context.now();
-        if (attempt.fields.isOtherEndpoint)
+        if (attempt.fields.isOtherIncarnation)
             m_context.directory.remove(endpoint->entry().id, now);
         else
-            endpoint->avoidUntil(now + m_context.settings.avoidAfterShed);
+            endpoint->avoidUntil(now + m_context.settings.avoidAfterRejection);
         recover(RefusalReason::EndpointsBusy);
         return;
     }
@@ -257,7 +254,7 @@
     answer(std::move(attempt.answer), isSuccess(status) ? "answered" : "endpoint-status", endpoint->entry().id);
 }
 
-void WholeAnswerCall::callFailed(EndpointCall& call, FailureKind kind)
+void BufferedCall::callFailed(EndpointCall& call, FailureKind kind)
 {
     if (m_isFinished)
         return;
@@ -281,13 +278,13 @@
     } else {
         m_rollout.noteAnswer(*endpoint, AnswerQuality::Bad);
         m_crashWatch.noteUnfinished(endpoint, call.startedAt(), { kind, RunStart::Assumed, now - call.startedAt() });
-        endpoint->avoidUntil(now + settings.avoidAfterBreak);
+        endpoint->avoidUntil(now + settings.avoidAfterBrokenAnswer);
     }
     recover(wasSent ? RefusalReason::EndpointFailed : RefusalReason::NoEndpoint);
 }
 
 // Tries another endpoint if that is allowed, waits for an attempt that is still open, or gives up the request.
-void WholeAnswerCall::recover(RefusalReason lastReason)
+void BufferedCall::recover(RefusalReason lastReason)
 {
     if (m_permit)
         return;
@@ -324,7 +321,7 @@
     }
 }
 
-void WholeAnswerCall::recoverLater(RefusalReason lastReason)
+void BufferedCall::recoverLater(RefusalReason lastReason)
 {
     m_waitTimer.expires_after(m_context.settings.endpointRetryInterval);
     m_waitTimer.async_wait([weak = weak_from_this(), lastReason](boost::system::error_code error) {
@@ -334,23 +331,20 @@
     });
 }
 
-void WholeAnswerCall::refuseAsHeld() { refuse(refusalAfter(AttemptDecision::Held, m_possibleRuns)); }
+void BufferedCall::refuseAsHeld() { refuse(refusalAfter(AttemptDecision::Held, m_possibleRuns)); }
 
-bool WholeAnswerCall::mayWait() const
-{
-    return m_possibleRuns == 0 && !m_errorAnswer && m_context.has(Policy::Waiting);
-}
+bool BufferedCall::mayWait() const { return m_possibleRuns == 0 && !m_errorAnswer && m_context.has(Policy::Waiting); }
 
-double WholeAnswerCall::jitter() const
+double BufferedCall::jitter() const
 {
     const auto& id = m_request.fields.requestId;
     const auto hash = static_cast<std::uint32_t>(XXH64(id.data(), id.size(), m_waits));
     return static_cast<double>(hash) / std::numeric_limits<std::uint32_t>::max();
 }
 
-WaitingCall WholeAnswerCall::waitingCall() const { return { m_request.admittedAt, m_request.deadline, m_waits }; }
+WaitingCall BufferedCall::waitingCall() const { return { m_request.admittedAt, m_request.deadline, m_waits }; }
 
-UnplacedRequest WholeAnswerCall::unplaced(RefusalReason lastReason)
+UnplacedRequest BufferedCall::unplaced(RefusalReason lastReason)
 {
     auto placementRequest = anyEndpoint();
     placementRequest.excluded.clear();
@@ -358,7 +352,7 @@
         m_context.pace(m_request.service).medianCallTime(), jitter(), lastReason };
 }
 
-void WholeAnswerCall::waitForCapacity(RefusalReason lastReason)
+void BufferedCall::waitForCapacity(RefusalReason lastReason)
 {
     const auto now = m_context.now();
     const auto state = unplaced(lastReason);
@@ -387,13 +381,13 @@
     });
 }
 
-void WholeAnswerCall::leaveWaitingRoom()
+void BufferedCall::leaveWaitingRoom()
 {
     if (std::exchange(m_isWaiting, false))
         m_context.waitingRequestLimit.leave(m_request.exchange->request().body.size());
 }
 
-void WholeAnswerCall::retryAfterWait(RefusalReason lastReason)
+void BufferedCall::retryAfterWait(RefusalReason lastReason)
 {
     leaveWaitingRoom();
     m_triedEndpoints.clear();
@@ -410,7 +404,7 @@
     waitForCapacity(lastReason);
 }
 
-void WholeAnswerCall::timedOut()
+void BufferedCall::timedOut()
 {
     if (m_isFinished)
         return;
@@ -425,13 +419,13 @@
 }
 
 // Only a call with a single attempt shows how long calls take: a hedge is sent because the first attempt is slow.
-void WholeAnswerCall::recordCallTime(Milliseconds now)
+void BufferedCall::recordCallTime(Milliseconds now)
 {
     if (m_attempts.size() == 1 && m_context.has(Policy::LearnedPace))
         m_context.pace(m_request.service).callTime.add(static_cast<double>((now - m_request.admittedAt).count()), now);
 }
 
-void WholeAnswerCall::answer(HttpResponse response, std::string_view outcome, std::string_view endpointId)
+void BufferedCall::answer(HttpResponse response, std::string_view outcome, std::string_view endpointId)
 {
     const auto now = m_context.now();
     recordCallTime(now);
@@ -448,7 +442,7 @@
     finish();
 }
 
-void WholeAnswerCall::refuse(RefusalReason reason)
+void BufferedCall::refuse(RefusalReason reason)
 {
     const auto now = m_context.now();
     const auto& traits = traitsOf(reason);
@@ -466,7 +460,7 @@
     finish();
 }
 
-void WholeAnswerCall::finish()
+void BufferedCall::finish()
 {
     if (m_isFinished)
         return;
--- a/src/relay/WholeAnswerCall.h
+++ b/src/relay/BufferedCall.h
@@ -25,10 +25,10 @@
 class PermitWait;
 struct PlacementRequest;
 
-class WholeAnswerCall final : public EndpointCallListener, public std::enable_shared_from_this<WholeAnswerCall> {
+class BufferedCall final : public EndpointCallListener, public std::enable_shared_from_this<BufferedCall> {
 public:
     static void serve(RelayContext&, RelayRequest);
-    ~WholeAnswerCall() override;
+    ~BufferedCall() override;
 
     void callHead(EndpointCall&, const HttpResponse&, const AnswerFields&) override;
     void callBody(EndpointCall&, std::string_view) override;
@@ -45,7 +45,7 @@
         bool tookRetry { false };
     };
 
-    WholeAnswerCall(RelayContext&, RelayRequest);
+    BufferedCall(RelayContext&, RelayRequest);
     void begin();
     // Sends the request to one more endpoint, or asks for a permit to do so; returns false when no endpoint is
     // available. If the call can wait instead, only an endpoint without known problems is acceptable.
--- a/src/relay/CallProtocol.h
+++ b/src/relay/CallProtocol.h
@@ -21,7 +21,7 @@
     // Identifies this attempt of the caller; empty when absent.
     std::string requestId;
     // How long the caller waits for the response, from the moment it sent the request.
-    std::optional<Milliseconds> patience;
+    std::optional<Milliseconds> callerTimeout;
     std::string apiKey;
     // Id of the last event that a reconnecting caller has received; absent for a stream from its start.
     std::optional<std::uint64_t> lastEventId;
@@ -37,7 +37,7 @@
 };
 
 // Where an engine finds the memory of a run that it resumes.
-struct CopySource {
+struct RunMemorySource {
     // The engine that holds the memory: for a copy made while the run went on, the engine that received it; for a run
     // that was moved, its previous engine.
     SocketAddress engine;
@@ -63,11 +63,11 @@
     std::optional<std::uint64_t> lastEventId;
     // Engine that receives a live copy of the run's memory, updated while the run goes on.
     std::optional<SocketAddress> copyTo;
-    std::optional<CopySource> continueFrom;
+    std::optional<RunMemorySource> continueFrom;
 };
 
 // Limit of requests per second from all VMs together, as an endpoint's response states it.
-struct AnsweredLimit {
+struct StatedLimit {
     // Nothing when the response contains no limit, or one that cannot be parsed.
     std::optional<double> perSecond;
     // The value that cannot be parsed; empty when there is none.
@@ -75,7 +75,7 @@
 };
 
 // Back-off that an endpoint asks this VM for when it rejects a request.
-struct AnsweredRest {
+struct RequestedBackOff {
     // Nothing when the response asks for no back-off, or its time cannot be parsed.
     std::optional<Milliseconds> time;
     // The value that cannot be parsed; empty when there is none.
@@ -91,9 +91,9 @@
     // True when the endpoint states that it did not run the request.
     bool isNotRun { false };
     // True when the address belongs to another incarnation than the one that the request was meant for.
-    bool isOtherEndpoint { false };
-    AnsweredLimit limit {};
-    AnsweredRest rest {};
+    bool isOtherIncarnation { false };
+    StatedLimit limit {};
+    RequestedBackOff rest {};
     // True when the endpoint announces that it is shutting down.
     bool isLeaving { false };
 };
--- a/src/relay/EndpointCall.cpp
+++ b/src/relay/EndpointCall.cpp
@@ -74,7 +74,7 @@
     const auto fields = m_context.protocol.decodeAnswer(head);
     const auto now = m_context.now();
     // Unsigned bytes and responses of another process at the address say nothing about this endpoint.
-    const bool isFromEndpoint = (fields.isSigned || fields.isNotRun) && !fields.isOtherEndpoint;
+    const bool isFromEndpoint = (fields.isSigned || fields.isNotRun) && !fields.isOtherIncarnation;
     if (isFromEndpoint)
         m_endpoint->noteSignals(fields, now);
     m_isSkipping = !fields.requestId.empty() && fields.requestId != m_options.requestId;
--- a/src/relay/EngineChoice.h
+++ b/src/relay/EngineChoice.h
@@ -32,7 +32,7 @@
 
 struct RunTarget {
     std::shared_ptr<RelayEndpoint> engine;
-    CopySource copy;
+    RunMemorySource copy;
 };
 
 class EngineChoice : public std::enable_shared_from_this<EngineChoice> {
--- a/src/relay/EventStreamCall.cpp
+++ b/src/relay/EventStreamCall.cpp
@@ -14,8 +14,8 @@
 #include "relay/RunMover.h"
 #include "relay/RunRelocation.h"
 #include "relay/RunWatch.h"
-#include "relay/StreamAnswer.h"
 #include "relay/StreamLog.h"
+#include "relay/StreamResponse.h"
 
 #include <algorithm>
 
@@ -41,7 +41,7 @@
     , m_rollout(m_context, m_request)
     , m_crashWatch(m_context, m_request)
     , m_choice(EngineChoice::make(m_context, m_request, m_rollout))
-    , m_answer(StreamAnswer::make(m_request))
+    , m_answer(StreamResponse::make(m_request))
     , m_deadlineTimer(context.ioContext)
     , m_retryTimer(context.ioContext)
 {
@@ -147,7 +147,7 @@
         startRunAt(engine, std::nullopt);
 }
 
-void EventStreamCall::startRunAt(const std::shared_ptr<RelayEndpoint>& endpoint, std::optional<CopySource> copy)
+void EventStreamCall::startRunAt(const std::shared_ptr<RelayEndpoint>& endpoint, std::optional<RunMemorySource> copy)
 {
     if (!endpoint->isLimited()) {
         sendTo(endpoint, std::move(copy));
@@ -170,7 +170,7 @@
         });
 }
 
-void EventStreamCall::sendTo(const std::shared_ptr<RelayEndpoint>& endpoint, std::optional<CopySource> copy)
+void EventStreamCall::sendTo(const std::shared_ptr<RelayEndpoint>& endpoint, std::optional<RunMemorySource> copy)
 {
     const auto now = m_context.now();
     const auto& exchange = m_request.exchange;
@@ -326,7 +326,7 @@
 // Handles a response that is not an event stream.
 void EventStreamCall::handleNonStreamResponse(const std::shared_ptr<StreamRun>& run)
 {
-    if (run->fields.isNotRun || run->fields.isOtherEndpoint) {
+    if (run->fields.isNotRun || run->fields.isOtherIncarnation) {
         runRejected();
         return;
     }
@@ -348,11 +348,11 @@
     m_watch->stop();
     run->reading.reset();
     logRunRejected(m_request, *run);
-    if (run->fields.isOtherEndpoint) {
+    if (run->fields.isOtherIncarnation) {
         m_context.directory.remove(run->endpoint->entry().id, now);
         m_choice->noteFailed(run->endpoint);
     } else if (!run->isFromCopy) {
-        run->endpoint->avoidUntil(now + m_context.settings.avoidAfterShed);
+        run->endpoint->avoidUntil(now + m_context.settings.avoidAfterRejection);
         m_choice->noteFailed(run->endpoint);
     }
     startRun();
@@ -391,7 +391,7 @@
     const bool isSilent = kind == FailureKind::Silent;
     run->endpoint->avoidUntil(now
         + (isSilent       ? settings.avoidAfterSilence
-                : wasSent ? settings.avoidAfterBreak
+                : wasSent ? settings.avoidAfterBrokenAnswer
                           : settings.avoidAfterRefusal));
     m_context.directory.noteFailure(*run->endpoint, now);
     m_choice->noteFailed(run->endpoint);
@@ -428,7 +428,7 @@
     m_failedAt = m_context.now();
     m_tookRetryForNextRun = true;
     const bool isMoved = move.result == RelocationResult::Moved;
-    startRunAt(isMoved ? move.target : move.source, CopySource { move.source->entry().address, move.handle });
+    startRunAt(isMoved ? move.target : move.source, RunMemorySource { move.source->entry().address, move.handle });
 }
 
 void EventStreamCall::timedOut()
--- a/src/relay/EventStreamCall.h
+++ b/src/relay/EventStreamCall.h
@@ -14,8 +14,8 @@
 #include "relay/RelayRefusal.h"
 #include "relay/RelayRequest.h"
 #include "relay/RolloutPart.h"
-#include "relay/StreamPace.h"
 #include "relay/StreamRun.h"
+#include "relay/StreamTiming.h"
 #include <boost/asio/steady_timer.hpp>
 #include <vector>
 
@@ -25,7 +25,7 @@
 class PermitWait;
 class RunMover;
 class RunWatch;
-class StreamAnswer;
+class StreamResponse;
 struct RunMove;
 
 class EventStreamCall final : public EndpointCallListener, public std::enable_shared_from_this<EventStreamCall> {
@@ -44,8 +44,8 @@
     // Starts a run at an available engine, waits for one, or gives up.
     void startRun();
     // Starts a run at the endpoint, or at another one if it is rate-limited and grants no permit.
-    void startRunAt(const std::shared_ptr<RelayEndpoint>&, std::optional<CopySource>);
-    void sendTo(const std::shared_ptr<RelayEndpoint>&, std::optional<CopySource>);
+    void startRunAt(const std::shared_ptr<RelayEndpoint>&, std::optional<RunMemorySource>);
+    void sendTo(const std::shared_ptr<RelayEndpoint>&, std::optional<RunMemorySource>);
     // The engine is null when none is available.
     void engineChosen(const std::shared_ptr<RelayEndpoint>&);
     void waitForEndpoint();
@@ -77,11 +77,11 @@
 
     RelayContext& m_context;
     const RelayRequest m_request;
-    StreamPace m_pace;
+    StreamTiming m_pace;
     RolloutPart m_rollout;
     CrashWatch m_crashWatch;
     const std::shared_ptr<EngineChoice> m_choice;
-    const std::shared_ptr<StreamAnswer> m_answer;
+    const std::shared_ptr<StreamResponse> m_answer;
     std::shared_ptr<StreamRun> m_run;
     // Set by begin().
     std::shared_ptr<RunWatch> m_watch;
--- a/src/relay/RelayConfiguration.h
+++ b/src/relay/RelayConfiguration.h
@@ -10,7 +10,7 @@
 
 #include "http/HttpServerSettings.h"
 #include "relay/Route.h"
-#include "relay/ServiceTerms.h"
+#include "relay/ServiceConfiguration.h"
 #include <memory>
 #include <unordered_map>
 
@@ -24,7 +24,7 @@
     // The organisation to which the API key belongs, or null.
     const std::string* findOrganisation(const std::string& key) const;
     // The service's configuration, or null.
-    const ServiceTerms* findService(const std::string& name) const;
+    const ServiceConfiguration* findService(const std::string& name) const;
     // True when all routes but the public ones require an API key.
     bool hasOrganisations() const { return m_hasOrganisations; }
     std::size_t routeCount() const { return m_routeCount; }
@@ -36,7 +36,7 @@
     std::uint64_t m_version { 0 };
     // The routes of each host by their path prefix.
     std::unordered_map<std::string, std::unordered_map<std::string, std::shared_ptr<const Route>>> m_routesByHost;
-    std::unordered_map<std::string, ServiceTerms> m_services;
+    std::unordered_map<std::string, ServiceConfiguration> m_services;
     std::unordered_map<std::string, std::string> m_organisationByKey;
     HttpServerSettings m_callerLimits;
     std::size_t m_routeCount { 0 };
@@ -49,9 +49,9 @@
 
     RelayConfigurationBuilder& version(std::uint64_t);
     RelayConfigurationBuilder& addRoute(Route);
-    RelayConfigurationBuilder& addService(ServiceTerms);
+    RelayConfigurationBuilder& addService(ServiceConfiguration);
     // Makes requests require an API key, even if no organisation has one.
-    RelayConfigurationBuilder& requireKeys();
+    RelayConfigurationBuilder& requireApiKeys();
     RelayConfigurationBuilder& addKey(std::string key, std::string organisation);
     RelayConfigurationBuilder& callerLimits(const HttpServerSettings&);
     // Returns the configuration and leaves the builder empty.
--- a/src/relay/RelayDaemon.cpp
+++ b/src/relay/RelayDaemon.cpp
@@ -102,7 +102,7 @@
 void RelayDaemon::listRestored()
 {
     m_directory.listRestored(m_clock.now());
-    m_metrics.listsRestored.Increment();
+    m_metrics.restoredLists.Increment();
 }
 
 bool RelayDaemon::beginRollout(const RolloutOrder& order)
--- a/src/relay/RelayEndpoint.cpp
+++ b/src/relay/RelayEndpoint.cpp
@@ -130,7 +130,7 @@
     m_kept.clear();
 }
 
-bool RelayEndpoint::noteLimit(const AnsweredLimit& answered, Milliseconds sentAt, Milliseconds now)
+bool RelayEndpoint::noteLimit(const StatedLimit& answered, Milliseconds sentAt, Milliseconds now)
 {
     if (!answered.unreadable.empty()) {
         if (!std::exchange(m_hasLoggedUnreadableLimit, true))
--- a/src/relay/RelayEndpoint.h
+++ b/src/relay/RelayEndpoint.h
@@ -15,7 +15,7 @@
 
 namespace lupinknot::internal {
 
-struct AnsweredLimit;
+struct StatedLimit;
 struct AnswerFields;
 
 class RelayEndpoint {
@@ -59,7 +59,7 @@
     const KnownLimit& limit() const { return m_limit; }
     // Applies a new answer's statement about the endpoint's rate limit; sentAt is when its request was sent. Returns
     // true if other VMs should be told.
-    bool noteLimit(const AnsweredLimit&, Milliseconds sentAt, Milliseconds now);
+    bool noteLimit(const StatedLimit&, Milliseconds sentAt, Milliseconds now);
     // Applies what another VM reports of the rate limit.
     void noteLimitNews(const LimitReport&, Milliseconds now);
     LimitReport limitNews(Milliseconds now) const { return { m_limit.perSecond(), now - m_limit.heardAt() }; }
--- a/src/relay/RelayMetrics.h
+++ b/src/relay/RelayMetrics.h
@@ -39,7 +39,7 @@
     prometheus::Gauge& configurationVersion;
     prometheus::Gauge& endpointsKnown;
     // Endpoint lists that came from an older copy of their source.
-    prometheus::Counter& listsRestored;
+    prometheus::Counter& restoredLists;
     // Permits for rate-limited endpoints.
     prometheus::Counter& permitsGranted;
     prometheus::Counter& permitsDenied;
--- a/src/relay/RelaySettings.h
+++ b/src/relay/RelaySettings.h
@@ -45,8 +45,8 @@
     Milliseconds endpointConnectTimeout { 80 };
     // Bounds of the delay after which an unanswered idempotent call is also sent to a second endpoint; between them the
     // delay follows from the calls that this VM has seen (ServicePace).
-    Milliseconds shortestHedgeDelay { 10 };
-    Milliseconds longestHedgeDelay { 2000 };
+    Milliseconds minHedgeDelay { 10 };
+    Milliseconds maxHedgeDelay { 2000 };
     // Longest idle time after which a kept-alive connection still carries a call that must not run twice. The peer may
     // close an idle connection at any time, and a call that is sent while it does may have run.
     Milliseconds maxIdleTimeForSingleRun { 1500 };
@@ -81,7 +81,7 @@
     Milliseconds relocateAfter { 500 };
     // A run that is expected to end sooner than this is not moved: a move costs a copy of its memory, a retry and a
     // short pause, and a second failure within this time is rare.
-    Milliseconds relocateUnlessDoneWithin { 2500 };
+    Milliseconds minTimeLeftForRelocation { 2500 };
     // How long a stream without an event waits for an endpoint when none is available.
     Milliseconds waitForEndpoint { 900 };
     // Interval between attempts to find an available endpoint.
@@ -104,9 +104,9 @@
     // How long an endpoint is avoided after it refused a connection, stopped sending, or broke off an answer.
     Milliseconds avoidAfterRefusal { 1500 };
     Milliseconds avoidAfterSilence { 2000 };
-    Milliseconds avoidAfterBreak { 300 };
+    Milliseconds avoidAfterBrokenAnswer { 300 };
     // How long an endpoint is avoided after it rejected a request because it is full.
-    Milliseconds avoidAfterShed { 150 };
+    Milliseconds avoidAfterRejection { 150 };
     // When this many endpoints of a zone fail within the window, the whole zone is avoided for some time, because the
     // engines of a zone tend to fail together.
     unsigned zoneFailureCount { 2 };
--- a/src/relay/RunMover.cpp
+++ b/src/relay/RunMover.cpp
@@ -61,7 +61,7 @@
     // A run at a candidate version is not sent to that version again, and its KV cache cannot move to another version.
     const bool isVersionAllowed = m_rollout.next().admits(run.endpoint->entry().version);
     return isPossible && isVersionAllowed && outlook.leavesAttempt && run.hasEvent
-        && outlook.expectedRest >= m_context.settings.relocateUnlessDoneWithin
+        && outlook.expectedRest >= m_context.settings.minTimeLeftForRelocation
         && !m_context.directory.isZoneAvoided(run.endpoint->entry().availabilityZone, now);
 }
 
--- a/src/relay/RunMover.h
+++ b/src/relay/RunMover.h
@@ -53,7 +53,7 @@
     RunMover(const RunMover&) = delete;
     RunMover& operator=(const RunMover&) = delete;
 
-    // Begins to move the run if it lacks a copy and the move pays off (RelaySettings::relocateUnlessDoneWithin).
+    // Begins to move the run if it lacks a copy and the move pays off (RelaySettings::minTimeLeftForRelocation).
     void consider(const StreamRun&, const StreamOutlook&, Engines failed);
     // True once the run may have been told to stop: its stream then ends without its last event.
     bool isStopping() const;
--- a/src/relay/StreamAnswer.h
+++ b/src/relay/StreamResponse.h
@@ -3,7 +3,7 @@
 // Successive runs contribute events; an event that does not follow the last one is rejected. The caller's connection
 // reads the events as fast as it can send them.
 //
-//     const auto answer = StreamAnswer::make(request);
+//     const auto answer = StreamResponse::make(request);
 //     run->number = answer->beginRun();
 //     if (!answer->append(*run, std::move(events))) ...       // The run sent a wrong event; abandon it.
 //     answer->forwardToCaller(run->head, now);
@@ -24,10 +24,10 @@
 struct RelayRequest;
 struct StreamRun;
 
-class StreamAnswer : public std::enable_shared_from_this<StreamAnswer> {
+class StreamResponse : public std::enable_shared_from_this<StreamResponse> {
 public:
     // The request must outlive the answer.
-    static std::shared_ptr<StreamAnswer> make(const RelayRequest&);
+    static std::shared_ptr<StreamResponse> make(const RelayRequest&);
 
     // Starts a run; events of earlier runs are rejected from now on.
     AttemptNumber beginRun() { return m_events.beginAttempt(); }
@@ -55,7 +55,7 @@
 private:
     class Source;
 
-    explicit StreamAnswer(const RelayRequest&);
+    explicit StreamResponse(const RelayRequest&);
 
     const RelayRequest& m_request;
     // Number of events that the caller had received before this call.
--- a/src/relay/StreamPace.cpp
+++ b/src/relay/StreamTiming.cpp
@@ -1,4 +1,4 @@
-#include "relay/StreamPace.h"
+#include "relay/StreamTiming.h"
 
 #include "common/EventLog.h"
 #include "relay/Policy.h"
@@ -18,20 +18,20 @@
 
 } // namespace
 
-StreamPace::StreamPace(RelayContext& context, const RelayRequest& request)
+StreamTiming::StreamTiming(RelayContext& context, const RelayRequest& request)
     : m_context(context)
     , m_request(request)
 {
 }
 
-std::int64_t StreamPace::maxEvents() const
+std::int64_t StreamTiming::maxEvents() const
 {
     const auto* service = m_context.configuration->findService(m_request.service);
     const auto tokensPerEvent = service ? service->tokensPerEvent : 0;
     return tokensPerEvent == 0 ? 0 : static_cast<std::int64_t>(m_request.fields.maxAnswerTokens / tokensPerEvent);
 }
 
-bool StreamPace::lacksTimeToFinish(std::uint64_t lastEventId, bool isPromptKept) const
+bool StreamTiming::lacksTimeToFinish(std::uint64_t lastEventId, bool isPromptKept) const
 {
     const auto& pace = m_context.pace(m_request.service);
     const auto reading
@@ -54,13 +54,13 @@
     return true;
 }
 
-void StreamPace::recordFirstEvent(const StreamRun& run, Milliseconds now)
+void StreamTiming::recordFirstEvent(const StreamRun& run, Milliseconds now)
 {
     const auto lead = std::max(now - run.headReceivedAt.value_or(now), Milliseconds { 1 });
     m_context.pace(m_request.service).headerLead.add(static_cast<double>(lead.count()), now);
 }
 
-UnfinishedRun StreamPace::describeUnfinishedRun(const StreamRun& run, FailureKind kind, Milliseconds now)
+UnfinishedRun StreamTiming::describeUnfinishedRun(const StreamRun& run, FailureKind kind, Milliseconds now)
 {
     auto& pace = m_context.pace(m_request.service);
     pace.headersShowStart = pace.headersShowStart || (run.headReceivedAt && !run.hasEvent);
@@ -75,7 +75,7 @@
 
 // Only the first attempt from the start of a stream shows how fast engines process prompts; for others the engine may
 // have parts of the prompt cached.
-void StreamPace::recordPromptTime(const StreamRun& run, Milliseconds now)
+void StreamTiming::recordPromptTime(const StreamRun& run, Milliseconds now)
 {
     const auto tokens = m_request.fields.promptTokens;
     if (tokens == 0 || m_request.fields.lastEventId || run.isFromCopy || !m_context.has(Policy::LearnedPace))
@@ -85,7 +85,7 @@
     pace.promptTokens.add(tokens, now);
 }
 
-void StreamPace::recordCompleteAnswer(std::uint64_t lastEventId, std::size_t events, Milliseconds time)
+void StreamTiming::recordCompleteAnswer(std::uint64_t lastEventId, std::size_t events, Milliseconds time)
 {
     if (!m_context.has(Policy::LearnedPace))
         return;
--- a/src/relay/StreamPace.h
+++ b/src/relay/StreamTiming.h
@@ -1,6 +1,6 @@
 // Records the timing of one stream for its service's statistics, and checks whether the stream can finish in time.
 //
-//     StreamPace pace(context, request);
+//     StreamTiming pace(context, request);
 //     if (pace.lacksTimeToFinish(lastEventId, isPromptKept)) ...   // Refuse it; it cannot meet its deadline.
 //     pace.recordPromptTime(run, now);                             // The first event has arrived.
 //     pace.recordCompleteAnswer(lastEventId, events, time);        // The stream is complete.
@@ -18,9 +18,9 @@
 struct RelayRequest;
 struct StreamRun;
 
-class StreamPace {
+class StreamTiming {
 public:
-    StreamPace(RelayContext&, const RelayRequest&);
+    StreamTiming(RelayContext&, const RelayRequest&);
 
     // Maximum number of events of the whole answer; 0 when unknown.
     std::int64_t maxEvents() const;
--- a/test/EndpointRestTest.cpp
+++ b/test/EndpointRestTest.cpp
@@ -193,7 +193,7 @@
 
 TEST(EndpointRest, GetsNoLoadQueries)
 {
-    relay->useEngines();
+    relay->useEngineService();
     auto& backingOff = relay->addEndpoint("e1");
     backingOff.onRequest(rejectsWith("Retry-After: 2\r\n"));
     for (const auto* id : { "e2", "e3" })
@@ -226,7 +226,7 @@
 
 TEST(EndpointRest, GetsNoHedgedCall)
 {
-    relay->settings.shortestHedgeDelay = relay->settings.longestHedgeDelay = Milliseconds { 20 };
+    relay->settings.minHedgeDelay = relay->settings.maxHedgeDelay = Milliseconds { 20 };
     auto& backingOff = relay->addEndpoint("e1");
     backingOff.onRequest(rejectsWith("Retry-After: 5\r\n"));
     auto& slow = relay->addEndpoint("e2");
--- a/test/EngineSurveyTest.cpp
+++ b/test/EngineSurveyTest.cpp
@@ -21,7 +21,7 @@
         relay = std::make_unique<RelayHarness>();
         relay->settings.loadProbeTimeout = Milliseconds { 2000 };
         relay->settings.minLoadProbeWait = Milliseconds { 20 };
-        relay->useEngines();
+        relay->useEngineService();
         relay->addRoute("stream", RequestKind::EventStream, 5);
     }
 
--- a/test/EventStreamCallTest.cpp
+++ b/test/EventStreamCallTest.cpp
@@ -81,8 +81,8 @@
     STRCMP_EQUAL(events(1, 4).c_str(), caller->body.c_str());
     STRCMP_EQUAL_TEXT(
         "s", caller->header("X-Response-Signature").c_str(), "the response must keep the head of the first run");
-    CHECK(holder.hasAsked(0, "Last-Event-Id: 2\r\n"));
-    CHECK(holder.hasAsked(0, "/r1\r\n"));
+    CHECK(holder.hasReceived(0, "Last-Event-Id: 2\r\n"));
+    CHECK(holder.hasReceived(0, "/r1\r\n"));
 }
 
 // Guards against losing the copy when its engine restarts under a new id. While the list of endpoints was unavailable
@@ -105,8 +105,8 @@
     engine.connections().front()->reset();
     await(caller);
     STRCMP_EQUAL(events(1, 4).c_str(), caller->body.c_str());
-    CHECK_TEXT(holder.hasAsked(0, "X-Expect-Instance: e9\r\n"), "the request must name the engine's current id");
-    CHECK(holder.hasAsked(0, "/r1\r\n"));
+    CHECK_TEXT(holder.hasReceived(0, "X-Expect-Instance: e9\r\n"), "the request must name the engine's current id");
+    CHECK(holder.hasReceived(0, "/r1\r\n"));
 }
 
 TEST(EventStreamCall, RestartsAtAnotherEngineWhenTheCopyIsMissing)
@@ -183,7 +183,7 @@
     const auto caller = relay->call("/stream/1", { { "Last-Event-Id", "7" } });
     await(caller);
     STRCMP_EQUAL(events(8, 9).c_str(), caller->body.c_str());
-    CHECK(engine.hasAsked(0, "Last-Event-Id: 7\r\n"));
+    CHECK(engine.hasReceived(0, "Last-Event-Id: 7\r\n"));
 }
 
 TEST(EventStreamCall, AbortsTheResponseWhenNoEngineCanResume)
@@ -238,7 +238,7 @@
 
 TEST(EventStreamCall, MovesARunWhoseCopyWasLost)
 {
-    relay->settings.relocateUnlessDoneWithin = Milliseconds { 0 };
+    relay->settings.minTimeLeftForRelocation = Milliseconds { 0 };
     relay->settings.probeAfterSilenceInDoubt = Milliseconds { 5 };
     relay->settings.retrySlackShare = 1;
     relay->settings.relocationSpread = Milliseconds { 1 };
@@ -271,13 +271,13 @@
     STRCMP_EQUAL(events(1, 3).c_str(), caller->body.c_str());
     LONGS_EQUAL_TEXT(
         2, moves.size(), "expected one copy while the run goes on and one of the remainder after it has stopped");
-    CHECK(second.hasAsked(0, "/h7\r\n") || third.hasAsked(0, "/h7\r\n"));
+    CHECK(second.hasReceived(0, "/h7\r\n") || third.hasReceived(0, "/h7\r\n"));
 }
 
 // A response without a length ends when its connection closes, and a run that is stopped to be moved closes it too.
 TEST(EventStreamCall, DoesNotTakeTheCloseOfAStoppedRunForTheEndOfTheAnswer)
 {
-    relay->settings.relocateUnlessDoneWithin = Milliseconds { 0 };
+    relay->settings.minTimeLeftForRelocation = Milliseconds { 0 };
     relay->settings.probeAfterSilenceInDoubt = Milliseconds { 5 };
     relay->settings.retrySlackShare = 1;
     relay->settings.relocationSpread = Milliseconds { 1 };
--- a/test/PlatformCallProtocolTest.cpp
+++ b/test/PlatformCallProtocolTest.cpp
@@ -22,7 +22,7 @@
         { { "X-Request-Id", "9c41" }, { "X-Deadline-Ms", "25000" }, { "Api-Key", "k" }, { "Last-Event-Id", "12" },
             { "X-Token-Usage", "1460,80" }, { "X-Prompt-Prefix", "5c1e07a2:800,e4402b7d:250" } });
     STRCMP_EQUAL("9c41", fields.requestId.c_str());
-    LONGS_EQUAL(25000, fields.patience->count());
+    LONGS_EQUAL(25000, fields.callerTimeout->count());
     LONGS_EQUAL(12, *fields.lastEventId);
     LONGS_EQUAL(1460, fields.promptTokens);
     STRCMP_EQUAL("e4402b7d", fields.promptId.c_str());
@@ -78,7 +78,7 @@
     ForwardFields fields;
     fields.lastEventId = 12;
     fields.copyTo = SocketAddress { "10.0.0.1", 80 };
-    fields.continueFrom = CopySource { { "10.0.0.2", 81 }, "9c41" };
+    fields.continueFrom = RunMemorySource { { "10.0.0.2", 81 }, "9c41" };
     const auto request = protocol.encodeForward({}, fields);
     STRCMP_EQUAL("12", value(request.headers, "Last-Event-Id").c_str());
     STRCMP_EQUAL("10.0.0.1:80", value(request.headers, "X-Kv-Backup").c_str());
@@ -90,10 +90,10 @@
     HttpResponse shed { 503, { { "X-Not-Executed", "1" } }, "" };
     CHECK(protocol.decodeAnswer(shed).isNotRun);
     HttpResponse other { 421, { { "X-Instance-Id", "i-2" } }, "" };
-    CHECK(protocol.decodeAnswer(other).isOtherEndpoint);
+    CHECK(protocol.decodeAnswer(other).isOtherIncarnation);
     HttpResponse good { 200, { { "X-Response-Signature", "s" }, { "X-Request-Id", "9c41" } }, "" };
     const auto fields = protocol.decodeAnswer(good);
-    CHECK(fields.isSigned && !fields.isNotRun && !fields.isOtherEndpoint);
+    CHECK(fields.isSigned && !fields.isNotRun && !fields.isOtherIncarnation);
     STRCMP_EQUAL("9c41", fields.requestId.c_str());
 }
 
--- a/test/RelayHarness.h
+++ b/test/RelayHarness.h
@@ -37,7 +37,7 @@
     RelayHarness();
 
     // Makes the service's endpoints engines, whose load can be queried.
-    void useEngines();
+    void useEngineService();
     // Adds a route for the path prefix /PREFIX/ of the host h.
     void addRoute(const std::string& prefix, RequestKind, unsigned maxAttempts, bool isPublic = true);
     // Adds a non-idempotent route for an organisation, and the API key that it requires.
--- a/test/WholeAnswerCallTest.cpp
+++ b/test/WholeAnswerCallTest.cpp
@@ -1,12 +1,12 @@
-#include "relay/WholeAnswerCall.h"
 #include "RelayHarness.h"
+#include "relay/BufferedCall.h"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace lupinknot;
 using namespace lupinknot::internal;
 
-TEST_GROUP(WholeAnswerCall)
+TEST_GROUP(BufferedCall)
 {
     std::unique_ptr<RelayHarness> relay;
 
@@ -14,7 +14,7 @@
     {
         relay = std::make_unique<RelayHarness>();
         // Disables hedging, unless a test enables it.
-        relay->settings.shortestHedgeDelay = relay->settings.longestHedgeDelay = Milliseconds { 100000 };
+        relay->settings.minHedgeDelay = relay->settings.maxHedgeDelay = Milliseconds { 100000 };
         relay->addRoute("once", RequestKind::NonIdempotent, 1);
         relay->addRoute("again", RequestKind::Idempotent, 2);
     }
@@ -39,7 +39,7 @@
     }
 };
 
-TEST(WholeAnswerCall, ForwardsAnAnswerUnchanged)
+TEST(BufferedCall, ForwardsAnAnswerUnchanged)
 {
     relay->addEndpoint("e1").onRequest(answers(200, "hello"));
     ready();
@@ -50,7 +50,7 @@
     STRCMP_EQUAL("s", caller->header("X-Response-Signature").c_str());
 }
 
-TEST(WholeAnswerCall, ForwardsAnEndpointsErrorAnswer)
+TEST(BufferedCall, ForwardsAnEndpointsErrorAnswer)
 {
     relay->addEndpoint("e1").onRequest(answers(500, "oops"));
     ready();
@@ -60,7 +60,7 @@
     STRCMP_EQUAL("oops", caller->body.c_str());
 }
 
-TEST(WholeAnswerCall, NeverResendsANonIdempotentCallThatMayHaveRun)
+TEST(BufferedCall, NeverResendsANonIdempotentCallThatMayHaveRun)
 {
     const auto reset = [](ScriptedConnection& asker, const std::string&) { asker.reset(); };
     auto& first = relay->addEndpoint("e1");
@@ -75,7 +75,7 @@
     LONGS_EQUAL(1, first.requests().size() + second.requests().size());
 }
 
-TEST(WholeAnswerCall, TriesAnotherEndpointWhenTheFirstRefusesTheConnection)
+TEST(BufferedCall, TriesAnotherEndpointWhenTheFirstRefusesTheConnection)
 {
     auto& crashed = relay->addEndpoint("e1");
     relay->addEndpoint("e2", "b").onRequest(answers(200, "hello"));
@@ -86,7 +86,7 @@
     LONGS_EQUAL(200, caller->head.status);
 }
 
-TEST(WholeAnswerCall, RefusesAsNotRunWhenEveryEndpointRejectsTheCall)
+TEST(BufferedCall, RefusesAsNotRunWhenEveryEndpointRejectsTheCall)
 {
     const auto rejects = [](ScriptedConnection& asker, const std::string&) {
         asker.answer(503, "X-Request-Id: r1\r\nX-Not-Executed: 1\r\n", "");
@@ -101,7 +101,7 @@
     STRCMP_EQUAL("not-run", caller->header("Lupinknot-Outcome").c_str());
 }
 
-TEST(WholeAnswerCall, WaitsForCapacityWhenEveryEndpointRejectsTheCall)
+TEST(BufferedCall, WaitsForCapacityWhenEveryEndpointRejectsTheCall)
 {
     auto& full = relay->addEndpoint("e1");
     full.onRequest([&full](ScriptedConnection& asker, const std::string&) {
@@ -117,7 +117,7 @@
     LONGS_EQUAL(3, full.requests().size());
 }
 
-TEST(WholeAnswerCall, WaitsForAnEndpointWhenNoneIsKnown)
+TEST(BufferedCall, WaitsForAnEndpointWhenNoneIsKnown)
 {
     relay->configure();
     relay->list();
@@ -130,7 +130,7 @@
     LONGS_EQUAL(0, relay->daemon().waitingCount());
 }
 
-TEST(WholeAnswerCall, RemovesAWaitingCallWhenItsCallerDisconnects)
+TEST(BufferedCall, RemovesAWaitingCallWhenItsCallerDisconnects)
 {
     relay->configure();
     relay->list();
@@ -140,7 +140,7 @@
     CHECK(relay->runUntil([&] { return relay->daemon().waitingCount() == 0; }));
 }
 
-TEST(WholeAnswerCall, DoesNotWaitWithACallThatMayHaveRun)
+TEST(BufferedCall, DoesNotWaitWithACallThatMayHaveRun)
 {
     auto& endpoint = relay->addEndpoint("e1");
     endpoint.onRequest([](ScriptedConnection& asker, const std::string&) { asker.reset(); });
@@ -151,7 +151,7 @@
     LONGS_EQUAL(1, endpoint.requests().size());
 }
 
-TEST(WholeAnswerCall, SendsAnIdempotentCallToAnotherEndpointAfterATruncatedAnswer)
+TEST(BufferedCall, SendsAnIdempotentCallToAnotherEndpointAfterATruncatedAnswer)
 {
     const auto breaksOff = [](ScriptedConnection& asker, const std::string&) {
         asker.send("HTTP/1.1 200 OK\r\n" + signedHead + "Content-Length: 10\r\n\r\nhel");
@@ -166,7 +166,7 @@
     STRCMP_EQUAL("hello", caller->body.c_str());
 }
 
-TEST(WholeAnswerCall, ForwardsTheFirstErrorWhenTheSecondEndpointFailsToo)
+TEST(BufferedCall, ForwardsTheFirstErrorWhenTheSecondEndpointFailsToo)
 {
     relay->addEndpoint("e1").onRequest(answers(500, "oops"));
     relay->addEndpoint("e2", "b").onRequest([](ScriptedConnection& asker, const std::string&) { asker.reset(); });
@@ -176,7 +176,7 @@
     LONGS_EQUAL(500, caller->head.status);
 }
 
-TEST(WholeAnswerCall, RejectsASuccessWithoutTheEndpointsSignature)
+TEST(BufferedCall, RejectsASuccessWithoutTheEndpointsSignature)
 {
     relay->addEndpoint("e1").onRequest(
         [](ScriptedConnection& asker, const std::string&) { asker.answer(200, "X-Request-Id: r1\r\n", "hello"); });
@@ -186,7 +186,7 @@
     LONGS_EQUAL(502, caller->head.status);
 }
 
-TEST(WholeAnswerCall, SkipsAnAnswerThatBelongsToAnotherRequest)
+TEST(BufferedCall, SkipsAnAnswerThatBelongsToAnotherRequest)
 {
     relay->addEndpoint("e1").onRequest([](ScriptedConnection& asker, const std::string&) {
         asker.answer(200, "X-Request-Id: r0\r\nX-Response-Signature: s\r\n", "late");
@@ -198,7 +198,7 @@
     STRCMP_EQUAL("mine", caller->body.c_str());
 }
 
-TEST(WholeAnswerCall, NeverForwardsBytesThatFollowACompleteAnswer)
+TEST(BufferedCall, NeverForwardsBytesThatFollowACompleteAnswer)
 {
     auto& endpoint = relay->addEndpoint("e1");
     endpoint.onRequest([](ScriptedConnection& asker, const std::string& request) {
@@ -218,7 +218,7 @@
     LONGS_EQUAL_TEXT(2, endpoint.connections().size(), "the connection with extra bytes must not carry another call");
 }
 
-TEST(WholeAnswerCall, AcceptsAnAnswerWithoutALengthOnlyAfterAnOrderlyClose)
+TEST(BufferedCall, AcceptsAnAnswerWithoutALengthOnlyAfterAnOrderlyClose)
 {
     relay->addEndpoint("e1").onRequest([](ScriptedConnection& asker, const std::string& request) {
         const bool isFirst = request.find("r1") != std::string::npos;
@@ -238,9 +238,9 @@
     LONGS_EQUAL(502, broken->head.status);
 }
 
-TEST(WholeAnswerCall, HedgesWhenTheFirstEndpointIsSlow)
+TEST(BufferedCall, HedgesWhenTheFirstEndpointIsSlow)
 {
-    relay->settings.shortestHedgeDelay = relay->settings.longestHedgeDelay = Milliseconds { 5 };
+    relay->settings.minHedgeDelay = relay->settings.maxHedgeDelay = Milliseconds { 5 };
     auto& slow = relay->addEndpoint("e1");
     relay->addEndpoint("e2", "b").onRequest(answers(200, "hello"));
     ready();
@@ -250,7 +250,7 @@
     CHECK(relay->runUntil([&] { return slow.connections()[0]->isClosedByPeer(); }));
 }
 
-TEST(WholeAnswerCall, ClosesTheEndpointsConnectionWhenTheCallerDisconnects)
+TEST(BufferedCall, ClosesTheEndpointsConnectionWhenTheCallerDisconnects)
 {
     auto& endpoint = relay->addEndpoint("e1");
     ready();
@@ -260,7 +260,7 @@
     CHECK(relay->runUntil([&] { return endpoint.connections()[0]->isClosedByPeer(); }));
 }
 
-TEST(WholeAnswerCall, ReportsAnUnknownOutcomeWhenTheDeadlinePasses)
+TEST(BufferedCall, ReportsAnUnknownOutcomeWhenTheDeadlinePasses)
 {
     relay->addEndpoint("e1");
     ready();
@@ -270,7 +270,7 @@
     STRCMP_EQUAL("unknown", caller->header("Lupinknot-Outcome").c_str());
 }
 
-TEST(WholeAnswerCall, DoesNotSendAgainToAnEndpointThatWasReplaced)
+TEST(BufferedCall, DoesNotSendAgainToAnEndpointThatWasReplaced)
 {
     auto& old = relay->addEndpoint("e1");
     old.onRequest(
@@ -283,7 +283,7 @@
     LONGS_EQUAL_TEXT(1, old.requests().size(), "a waiting call must not be sent to it again");
 }
 
-TEST(WholeAnswerCall, AppliesChangedSettingsToTheNextRequest)
+TEST(BufferedCall, AppliesChangedSettingsToTheNextRequest)
 {
     relay->settings.retryRatio = 0;
     relay->settings.retrySlack = 0;
@@ -306,7 +306,7 @@
 
 // Guards against charging the retry budget for connection failures. A VM in a zone that was cut off used up its retries
 // on endpoints that it could not connect to, and then refused calls because its retry budget was empty.
-TEST(WholeAnswerCall, AFailedConnectionTakesNoRetry)
+TEST(BufferedCall, AFailedConnectionTakesNoRetry)
 {
     relay->settings.retryRatio = 0;
     relay->settings.retrySlack = 0;
