--- a/test/PeerPermitsTest.cpp
+++ b/test/PeerPermitsTest.cpp
@@ -23,8 +23,8 @@
         CHECK_FALSE(feeds->start().has_value());
         entry = { name, "a", { "127.0.0.1", feeds->port() } };
         permits = std::make_unique<PeerPermits>(ioContext, clock, entry);
-        feeds->exchange(PeerPermits::askPath, [this](const std::string& body) { return permits->answer(body); });
-        feeds->take(PeerPermits::tellPath, [this](const std::string& body) { return permits->take(body); });
+        feeds->exchange(PeerPermits::requestPath, [this](const std::string& body) { return permits->answer(body); });
+        feeds->take(PeerPermits::reportPath, [this](const std::string& body) { return permits->take(body); });
     }
 
     VmRegistry registry;
--- a/test/PeerRolloutsTest.cpp
+++ b/test/PeerRolloutsTest.cpp
@@ -97,7 +97,7 @@
 {
     advanceStore();
     startRollout();
-    const auto told = rollouts->takeAccount(report(20, 12));
+    const auto told = rollouts->takeReport(report(20, 12));
     CHECK(told && told->find("stop") != std::string::npos);
     CHECK(runUntil([&] { return rollout().decision() == RolloutDecision::RolledBack; }));
     CHECK_TEXT(rollout().isStopped(), "the VM stops its own requests to the candidate as well");
@@ -107,7 +107,7 @@
 {
     advanceStore();
     startRollout();
-    rollouts->takeAccount(report(90, 1));
+    rollouts->takeReport(report(90, 1));
     CHECK(runUntil([&] { return status().find("completed") != std::string::npos; }));
     CHECK(runUntil([&] { return rollout().decision() == RolloutDecision::Completed; }));
 }
@@ -117,7 +117,7 @@
     advanceStore();
     store->put("status", "rollout/s", R"({"state":"completed","target-version":"v2"})");
     startRollout();
-    rollouts->takeAccount(report(20, 12));
+    rollouts->takeReport(report(20, 12));
     CHECK(runUntil([&] { return rollout().decision() != RolloutDecision::Undecided; }));
     CHECK_TEXT(rollout().decision() == RolloutDecision::Completed, "a decision that is in the store must not change");
 }
@@ -140,9 +140,9 @@
     startRollout();
     for (const auto* text : { "", "7", "{}", R"({"service":"s","revision":3,"process":1,"routes":{}})",
              R"({"service":"s","revision":3,"process":"p","routes":{"r":{"present":[1],"candidate":[1,1]}}})" })
-        CHECK_FALSE(rollouts->takeAccount(text).has_value());
+        CHECK_FALSE(rollouts->takeReport(text).has_value());
     CHECK_FALSE_TEXT(
-        rollouts->takeAccount(report(1, 1, 99)).has_value(), "a report about another order must be refused");
+        rollouts->takeReport(report(1, 1, 99)).has_value(), "a report about another order must be refused");
 }
 
 TEST(PeerRollouts, RemovedOrderEndsItsRollout)
@@ -159,7 +159,7 @@
     advanceStore();
     store->keepCopy();
     startRollout();
-    rollouts->takeAccount(report(20, 12));
+    rollouts->takeReport(report(20, 12));
     CHECK(runUntil([&] { return rollout().decision() == RolloutDecision::RolledBack; }));
     restoreStore();
     rollouts->takeTable({});
@@ -214,7 +214,7 @@
     advanceStore();
     VmRegistry vms(daemon->ioContext(), { "127.0.0.1", store->port() }, { "vm1", "a", {} }, {}, [](const auto&) {});
     PeerFeeds feeds(daemon->ioContext(), { "127.0.0.1", 0 }, vms);
-    feeds.exchange(PeerRollouts::path, [this](const std::string& body) { return rollouts->takeAccount(body); });
+    feeds.exchange(PeerRollouts::path, [this](const std::string& body) { return rollouts->takeReport(body); });
     CHECK_FALSE(feeds.start().has_value());
     RelaySettings settings;
     settings.vmName = "vm2";
--- a/test/PeerRunLocationsTest.cpp
+++ b/test/PeerRunLocationsTest.cpp
@@ -25,9 +25,9 @@
         CHECK_FALSE(feeds.start().has_value());
         entry = { name, "a", { "127.0.0.1", feeds.port() } };
         locations = std::make_unique<PeerRunLocations>(ioContext, clock, entry, stored);
-        feeds.take(PeerRunLocations::tellPath, [this](const std::string& body) { return locations->take(body); });
+        feeds.take(PeerRunLocations::reportPath, [this](const std::string& body) { return locations->take(body); });
         feeds.tell(
-            PeerRunLocations::askPath, [this](const std::string& promptId) { return locations->tell(promptId); });
+            PeerRunLocations::requestPath, [this](const std::string& promptId) { return locations->tell(promptId); });
     }
 
     ManualClock clock;
--- a/test/PlatformStoreTest.cpp
+++ b/test/PlatformStoreTest.cpp
@@ -396,7 +396,7 @@
     std::size_t count = 0;
     VmRegistry vms(*ioContext, address, { "vm7", "a", { "10.0.0.7", 7200 } }, {},
         [&count](const std::vector<VmEntry>& others) { count = others.size() + 1; });
-    vms.shareThrough(shared.readers);
+    vms.useZoneReaders(shared.readers);
     CHECK(runUntil([&] { return count > 0; }));
     LONGS_EQUAL_TEXT(2, count, "the reader's table contains vm1 only");
     LONGS_EQUAL_TEXT(1, store->callCount(), "the VM should add itself without reading the table from the store");
@@ -460,7 +460,7 @@
     shared.feeds.take(
         StoreRunLocations::peerPath, [&](const std::string& body) { return readersLocations.takeFromPeer(body); });
     StoreRunLocations locations(*ioContext, { "127.0.0.1", shared.followerStore->port() });
-    locations.shareThrough(shared.readers);
+    locations.useZoneReaders(shared.readers);
     locations.note("p1", { "e1", "e2", "r1" });
     CHECK(runUntil([&] { return target.value("runs", "p1").has_value(); }));
     locations.forget("p1");
@@ -473,7 +473,7 @@
 {
     ReaderAndFollower shared(*ioContext);
     StoreRunLocations locations(*ioContext, { "127.0.0.1", shared.followerStore->port() });
-    locations.shareThrough(shared.readers);
+    locations.useZoneReaders(shared.readers);
     locations.note("p1", { "e1", "e2", "r1" });
     CHECK(runUntil([&] { return shared.followerStore->value("runs", "p1").has_value(); }));
 }
