--- a/test/PeerRolloutsTest.cpp
+++ b/test/PeerRolloutsTest.cpp
@@ -70,8 +70,8 @@
     void restoreStore()
     {
         store->restoreCopy();
-        era->hearFromVm(0);
-        era->hearFromVm(1);
+        era->noteEraFromVm(0);
+        era->noteEraFromVm(1);
         rollouts->storeRestored();
     }
 
--- a/test/PeerRunLocationsTest.cpp
+++ b/test/PeerRunLocationsTest.cpp
@@ -161,7 +161,7 @@
     addVms(2);
     store->setFault(StoreFault::None);
     StoreRunLocations writer(*ioContext, { "127.0.0.1", store->port() });
-    writer.hurry();
+    writer.writeSoon();
     writer.note("91bd", { "e1", "e2", "r1" });
     CHECK(runUntil([&] { return store->value("runs", "91bd").has_value(); }));
     STRCMP_EQUAL("e1 e2 r1", find(*vms[1], "91bd").c_str());
--- a/test/PlatformStoreTest.cpp
+++ b/test/PlatformStoreTest.cpp
@@ -297,7 +297,7 @@
     RecordingFeed started;
     started.follow(*ioContext, store->port(), "servers");
     CHECK(runUntil([&] { return started.snapshots == 1; }));
-    cutOff.feed->takeFromPeer(started.feed->encodeChanges(*cutOff.feed->position()));
+    cutOff.feed->applyFromPeer(started.feed->encodeChanges(*cutOff.feed->position()));
     CHECK_TEXT(cutOff.rows.count("a") == 0, "the removed row should be removed here too");
     LONGS_EQUAL(1, cutOff.rows.count("b"));
 }
@@ -407,7 +407,7 @@
     const SocketAddress address { "127.0.0.1", store->port() };
     StoreRunLocations writer(*ioContext, address);
     StoreRunLocations reader(*ioContext, address);
-    writer.hurry();
+    writer.writeSoon();
     writer.note("p1", { "e1", "e2", "r1" });
     CHECK(runUntil([&] { return store->value("runs", "p1").has_value(); }));
 
@@ -432,7 +432,7 @@
 {
     store->setFault(StoreFault::Unavailable);
     StoreRunLocations writer(*ioContext, { "127.0.0.1", store->port() });
-    writer.hurry();
+    writer.writeSoon();
     writer.note("p1", { "e1", "e2", "r1" });
     CHECK(runUntil([&] { return store->callCount() > 0; }));
     store->setFault(StoreFault::None);
@@ -443,7 +443,7 @@
 {
     store->setFault(StoreFault::Silent);
     StoreRunLocations writer(*ioContext, { "127.0.0.1", store->port() });
-    writer.hurry();
+    writer.writeSoon();
     writer.note("p1", { "e1", "e2", "r1" });
     CHECK(runUntil([&] { return store->callCount() == 1; }));
     store->setFault(StoreFault::None);
@@ -458,7 +458,7 @@
     auto& target = *shared.readerStore;
     StoreRunLocations readersLocations(*ioContext, { "127.0.0.1", target.port() });
     shared.feeds.take(
-        StoreRunLocations::peerPath, [&](const std::string& body) { return readersLocations.takeFromPeer(body); });
+        StoreRunLocations::peerPath, [&](const std::string& body) { return readersLocations.applyFromPeer(body); });
     StoreRunLocations locations(*ioContext, { "127.0.0.1", shared.followerStore->port() });
     locations.useZoneReaders(shared.readers);
     locations.note("p1", { "e1", "e2", "r1" });
@@ -482,8 +482,8 @@
 {
     StoreRunLocations locations(*ioContext, { "127.0.0.1", store->port() });
     for (const auto* const text : { "", "[]", "{}", "{\"noted\":[],\"forgotten\":[]}", "{\"noted\":{}}" })
-        CHECK_FALSE_TEXT(locations.takeFromPeer(text), text);
-    CHECK(locations.takeFromPeer("{\"noted\":{\"p1\":7},\"forgotten\":[3]}"));
+        CHECK_FALSE_TEXT(locations.applyFromPeer(text), text);
+    CHECK(locations.applyFromPeer("{\"noted\":{\"p1\":7},\"forgotten\":[3]}"));
 }
 
 TEST(PlatformStore, AFailedLookupReportsNoLocation)
--- a/test/StoreHistoryTest.cpp
+++ b/test/StoreHistoryTest.cpp
@@ -184,7 +184,7 @@
     const auto era = StoreEra::create(*ioContext);
     store->keepCopy();
     StoreRunLocations locations(*ioContext, { "127.0.0.1", store->port() }, era);
-    locations.hurry();
+    locations.writeSoon();
     locations.note("beef", { "i-1", "", "r1" });
     locations.note("dead", { "i-1", "", "r2" });
     CHECK(runUntil([&] { return store->value("runs", "beef") && store->value("runs", "dead"); }));
