--- a/src/common/Log.cpp
+++ b/src/common/Log.cpp
@@ -37,12 +37,12 @@
     boost::log::add_common_attributes();
 }
 
-void writeLog(LogLevel level, LogPart component, const std::string& message)
+void writeLog(LogLevel level, LogComponent component, const std::string& message)
 {
     if (level < minLoggedLevel.load(std::memory_order_relaxed))
         return;
     thread_local boost::log::sources::logger logger;
-    BOOST_LOG(logger) << nameIn(logLevelNames, level) << " " << nameIn(logPartNames, component) << ": " << message;
+    BOOST_LOG(logger) << nameIn(logLevelNames, level) << " " << nameIn(logComponentNames, component) << ": " << message;
 }
 
 } // namespace lupinknot::internal
--- a/src/common/Log.h
+++ b/src/common/Log.h
@@ -1,6 +1,6 @@
 // The plain-text log of all programs: short sentences, each prefixed with the level and the component that writes it.
 //
-//     logInfo(LogPart::Route, "generation g1 attempt 2 is sent to e3: fewest in flight (1).");
+//     logInfo(LogComponent::Route, "generation g1 attempt 2 is sent to e3: fewest in flight (1).");
 //
 // This writes `2026-01-02T03:04:05.678 info route: ...` to standard error.
 #pragma once
@@ -10,7 +10,7 @@
 
 namespace lupinknot::internal {
 
-enum class LogPart {
+enum class LogComponent {
     Daemon,
     Settings,
     Listener,
@@ -26,20 +26,20 @@
     Load,
 };
 
-inline constexpr std::array<EnumName<LogPart>, 13> logPartNames { {
-    { LogPart::Daemon, "daemon" },
-    { LogPart::Settings, "settings" },
-    { LogPart::Listener, "listener" },
-    { LogPart::Caller, "caller" },
-    { LogPart::Route, "route" },
-    { LogPart::Attempt, "attempt" },
-    { LogPart::Service, "service" },
-    { LogPart::Membership, "membership" },
-    { LogPart::Platform, "platform" },
-    { LogPart::Journal, "journal" },
-    { LogPart::Authority, "authority" },
-    { LogPart::StandIn, "stand-in" },
-    { LogPart::Load, "load" },
+inline constexpr std::array<EnumName<LogComponent>, 13> logComponentNames { {
+    { LogComponent::Daemon, "daemon" },
+    { LogComponent::Settings, "settings" },
+    { LogComponent::Listener, "listener" },
+    { LogComponent::Caller, "caller" },
+    { LogComponent::Route, "route" },
+    { LogComponent::Attempt, "attempt" },
+    { LogComponent::Service, "service" },
+    { LogComponent::Membership, "membership" },
+    { LogComponent::Platform, "platform" },
+    { LogComponent::Journal, "journal" },
+    { LogComponent::Authority, "authority" },
+    { LogComponent::StandIn, "stand-in" },
+    { LogComponent::Load, "load" },
 } };
 
 enum class LogLevel {
@@ -60,17 +60,26 @@
 void initializeLog(LogLevel);
 
 // Thread-safe.
-void writeLog(LogLevel, LogPart, const std::string& message);
+void writeLog(LogLevel, LogComponent, const std::string& message);
 
-inline void logDebug(LogPart component, const std::string& message) { writeLog(LogLevel::Debug, component, message); }
+inline void logDebug(LogComponent component, const std::string& message)
+{
+    writeLog(LogLevel::Debug, component, message);
+}
 
-inline void logInfo(LogPart component, const std::string& message) { writeLog(LogLevel::Info, component, message); }
+inline void logInfo(LogComponent component, const std::string& message)
+{
+    writeLog(LogLevel::Info, component, message);
+}
 
-inline void logWarning(LogPart component, const std::string& message)
+inline void logWarning(LogComponent component, const std::string& message)
 {
     writeLog(LogLevel::Warning, component, message);
 }
 
-inline void logError(LogPart component, const std::string& message) { writeLog(LogLevel::Error, component, message); }
+inline void logError(LogComponent component, const std::string& message)
+{
+    writeLog(LogLevel::Error, component, message);
+}
 
 } // namespace lupinknot::internal
--- a/src/http/ClientConnection.h
+++ b/src/http/ClientConnection.h
@@ -5,8 +5,8 @@
 //
 //     auto connection = ClientConnection::open(ioContext, address, settings);
 //     connection->send(request, listener);     // Connects first if necessary.
-//     ...                                      // listener->answerHead(), answerBody(), answerEnd()
-//     if (connection->isIdle()) ...            // May carry the next request.
+//     ...                                      // listener->responseHeaderReceived(), responseBodyReceived(),
+//     responseEnded() if (connection->isIdle()) ...            // May carry the next request.
 //
 // An idle connection keeps reading; it closes when the peer closes it or sends unsolicited bytes.
 // Not thread-safe: all calls and callbacks are made on the single thread that runs the io_context. Owned by its user
@@ -28,14 +28,14 @@
 
 enum class ClientFailure {
     NotConnected, // The connection could not be established; nothing was sent.
-    ClosedBeforeAnswer, // The peer closed or reset the connection before the first byte of the response.
+    ClosedBeforeResponse, // The peer closed or reset the connection before the first byte of the response.
     Truncated, // The connection ended within the response.
     Malformed, // The received bytes are not an HTTP response.
 };
 
 inline constexpr std::array<EnumName<ClientFailure>, 4> clientFailureNames { {
     { ClientFailure::NotConnected, "not-connected" },
-    { ClientFailure::ClosedBeforeAnswer, "closed-before-answer" },
+    { ClientFailure::ClosedBeforeResponse, "closed-before-answer" },
     { ClientFailure::Truncated, "truncated" },
     { ClientFailure::Malformed, "malformed" },
 } };
@@ -44,10 +44,10 @@
 class ClientConnectionListener {
 public:
     virtual ~ClientConnectionListener() = default;
-    virtual void answerHead(const HttpResponse& head) = 0;
-    virtual void answerBody(std::string_view piece) = 0;
+    virtual void responseHeaderReceived(const HttpResponse& head) = 0;
+    virtual void responseBodyReceived(std::string_view piece) = 0;
     // The response is complete. Returns true if it does not belong to the request and the next one must be awaited.
-    virtual bool answerEnd() = 0;
+    virtual bool responseEnded() = 0;
     // The connection failed and is closed. Called at most once, and never after close().
     virtual void connectionFailed(ClientFailure) = 0;
 };
--- a/src/http/HttpExchange.h
+++ b/src/http/HttpExchange.h
@@ -25,7 +25,7 @@
     // Closes the connection in the middle of the response, so that the peer recognises it as incomplete.
     virtual void abort() = 0;
     // Sets a callback that runs once if the peer disconnects before the response is complete.
-    virtual void onGone(std::function<void()>) = 0;
+    virtual void onPeerDisconnected(std::function<void()>) = 0;
 };
 
 } // namespace lupinknot::internal
--- a/src/http/HttpServer.cpp
+++ b/src/http/HttpServer.cpp
@@ -123,7 +123,7 @@
         if (m_isClosed)
             return;
         if (error) {
-            logWarning(LogPart::Listener, "cannot accept a connection: " + error.message() + ".");
+            logWarning(LogComponent::Listener, "cannot accept a connection: " + error.message() + ".");
         } else {
             open(std::move(socket));
         }
--- a/src/peer/PeerConnection.cpp
+++ b/src/peer/PeerConnection.cpp
@@ -160,7 +160,7 @@
     if (m_isClosed)
         return;
     if (m_queue.size() + frame.size() > maxQueuedBytes) {
-        logWarning(LogPart::Journal,
+        logWarning(LogComponent::Journal,
             "the send queue of a peer connection is full because the peer does not read; the connection is closed.");
         closeNow();
         return;
--- a/src/peer/PeerNetwork.cpp
+++ b/src/peer/PeerNetwork.cpp
@@ -150,7 +150,7 @@
     if (!handler)
         return;
     if (identity) {
-        logWarning(LogPart::Membership, "the link to VM " + identity->vm + " is lost.");
+        logWarning(LogComponent::Membership, "the link to VM " + identity->vm + " is lost.");
         handler->peerDown(*identity);
     }
 }
@@ -248,7 +248,7 @@
 void PeerNetwork::handleHello(const std::shared_ptr<PeerConnection>& connection, const wire::Envelope& envelope)
 {
     if (!isAcceptableHello(envelope)) {
-        logWarning(LogPart::Membership,
+        logWarning(LogComponent::Membership,
             "a peer connection is refused: expected a Hello from a configured peer with the same cluster and secret.");
         connection->close();
         return;
@@ -274,7 +274,7 @@
         closed(older);
         older->close();
     }
-    logInfo(LogPart::Membership,
+    logInfo(LogComponent::Membership,
         "the link to VM " + identity.vm + " in zone " + identity.zone + " (release " + hello.release() + ") is up.");
     if (handler)
         handler->peerUp(identity);
@@ -309,7 +309,7 @@
     {
         const std::lock_guard lock(m_mutex);
         for (const auto& entry : m_links) {
-            if (m_clock.now() - entry.second.lastReceivedAt > m_settings.cluster.silence)
+            if (m_clock.now() - entry.second.lastReceivedAt > m_settings.cluster.silenceTimeout)
                 silentConnections.push_back(entry.second.connection);
         }
     }
--- a/src/relay/EndpointCall.cpp
+++ b/src/relay/EndpointCall.cpp
@@ -16,7 +16,7 @@
     switch (failure) {
     case ClientFailure::NotConnected:
         return FailureKind::ConnectionRefused;
-    case ClientFailure::ClosedBeforeAnswer:
+    case ClientFailure::ClosedBeforeResponse:
         return FailureKind::ConnectionLost;
     case ClientFailure::Truncated:
         return FailureKind::EarlyEnd;
@@ -69,7 +69,7 @@
     m_endpoint->callEnded();
 }
 
-void EndpointCall::answerHead(const HttpResponse& head)
+void EndpointCall::responseHeaderReceived(const HttpResponse& head)
 {
     const auto fields = m_context.protocol.decodeAnswer(head);
     const auto now = m_context.now();
@@ -92,7 +92,7 @@
         listener->callHead(*this, head, fields);
 }
 
-void EndpointCall::answerBody(std::string_view piece)
+void EndpointCall::responseBodyReceived(std::string_view piece)
 {
     if (m_isSkipping || m_isOver)
         return;
@@ -100,7 +100,7 @@
         listener->callBody(*this, piece);
 }
 
-bool EndpointCall::answerEnd()
+bool EndpointCall::responseEnded()
 {
     if (m_isOver)
         return false;
--- a/src/relay/EndpointCall.h
+++ b/src/relay/EndpointCall.h
@@ -53,9 +53,9 @@
     // Closes the connection. No callback follows.
     void cancel();
 
-    void answerHead(const HttpResponse&) override;
-    void answerBody(std::string_view) override;
-    bool answerEnd() override;
+    void responseHeaderReceived(const HttpResponse&) override;
+    void responseBodyReceived(std::string_view) override;
+    bool responseEnded() override;
     void connectionFailed(ClientFailure) override;
 
 private:
--- a/src/relay/EngineLoadProbe.cpp
+++ b/src/relay/EngineLoadProbe.cpp
@@ -1,7 +1,7 @@
 #include "relay/EngineLoadProbe.h"
 
 #include "common/EventLog.h"
-#include "http/HttpQuestion.h"
+#include "http/HttpRoundTrip.h"
 #include "relay/CallProtocol.h"
 #include "relay/RelayContext.h"
 #include "relay/RelayEndpoint.h"
@@ -35,15 +35,15 @@
     const auto& settings = m_context.settings;
     const auto connection = engine->takeConnection(m_context.now(), settings.maxIdleTime, settings.idleTimeoutMargin);
     m_context.metrics.engineProbes.Increment();
-    m_probes.push_back(HttpQuestion::ask(m_context.ioContext, connection, m_context.protocol.encodeLoadQuery(),
-        settings.loadProbeTimeout, [weak = weak_from_this(), engine, connection](const HttpOutcome& outcome) {
+    m_probes.push_back(HttpRoundTrip::ask(m_context.ioContext, connection, m_context.protocol.encodeLoadQuery(),
+        settings.loadProbeTimeout, [weak = weak_from_this(), engine, connection](const HttpRoundTripResult& outcome) {
             if (const auto self = weak.lock())
                 self->answered(engine, connection, outcome);
         }));
 }
 
 void EngineLoadProbe::answered(const std::shared_ptr<RelayEndpoint>& engine,
-    const std::shared_ptr<ClientConnection>& connection, const HttpOutcome& outcome)
+    const std::shared_ptr<ClientConnection>& connection, const HttpRoundTripResult& outcome)
 {
     const auto now = m_context.now();
     if (outcome.answer)
--- a/src/relay/EngineLoadProbe.h
+++ b/src/relay/EngineLoadProbe.h
@@ -17,8 +17,8 @@
 namespace lupinknot::internal {
 
 class ClientConnection;
-class HttpQuestion;
-struct HttpOutcome;
+class HttpRoundTrip;
+struct HttpRoundTripResult;
 class RelayEndpoint;
 struct RelayContext;
 
@@ -33,14 +33,15 @@
 private:
     EngineLoadProbe(RelayContext&, Callback);
     void ask(const std::shared_ptr<RelayEndpoint>&);
-    void answered(const std::shared_ptr<RelayEndpoint>&, const std::shared_ptr<ClientConnection>&, const HttpOutcome&);
+    void answered(
+        const std::shared_ptr<RelayEndpoint>&, const std::shared_ptr<ClientConnection>&, const HttpRoundTripResult&);
     void awaitRemaining();
     void end();
 
     RelayContext& m_context;
     Callback m_callback;
     const Milliseconds m_startedAt;
-    std::vector<std::shared_ptr<HttpQuestion>> m_probes;
+    std::vector<std::shared_ptr<HttpRoundTrip>> m_probes;
     Engines m_answered;
     std::size_t m_pending { 0 };
     boost::asio::steady_timer m_timer;
--- a/src/relay/EventStreamCall.cpp
+++ b/src/relay/EventStreamCall.cpp
@@ -71,7 +71,7 @@
         if (!error)
             self->timedOut();
     });
-    m_request.exchange->onGone([self = shared_from_this()] {
+    m_request.exchange->onPeerDisconnected([self = shared_from_this()] {
         if (self->m_isFinished)
             return;
         LogEvent("request.caller-gone").text("request", self->m_request.fields.requestId).write();
--- a/src/relay/RunRelocation.cpp
+++ b/src/relay/RunRelocation.cpp
@@ -1,6 +1,6 @@
 #include "relay/RunRelocation.h"
 
-#include "http/HttpQuestion.h"
+#include "http/HttpRoundTrip.h"
 #include "relay/RelayContext.h"
 #include "relay/RelayEndpoint.h"
 #include "relay/RelaySettings.h"
@@ -31,14 +31,14 @@
     const auto& settings = m_context.settings;
     const auto limit = m_isStopping ? settings.relocationStopTimeout : settings.relocationCopyTimeout;
     const auto request = m_context.protocol.encodeMoveRun(m_requestId, m_target->entry().address, m_isStopping);
-    m_pendingRequest = HttpQuestion::ask(m_context.ioContext, m_source->openConnection(), request, limit,
-        [weak = weak_from_this()](const HttpOutcome& outcome) {
+    m_pendingRequest = HttpRoundTrip::ask(m_context.ioContext, m_source->openConnection(), request, limit,
+        [weak = weak_from_this()](const HttpRoundTripResult& outcome) {
             if (const auto self = weak.lock())
                 self->handleAnswer(outcome);
         });
 }
 
-void RunRelocation::handleAnswer(const HttpOutcome& outcome)
+void RunRelocation::handleAnswer(const HttpRoundTripResult& outcome)
 {
     if (outcome.answer)
         m_source->noteSignals(m_context.protocol.decodeAnswer(*outcome.answer), m_context.now());
--- a/src/relay/RunWatch.cpp
+++ b/src/relay/RunWatch.cpp
@@ -1,6 +1,6 @@
 #include "relay/RunWatch.h"
 
-#include "http/HttpQuestion.h"
+#include "http/HttpRoundTrip.h"
 #include "relay/EndpointDirectory.h"
 #include "relay/RelayContext.h"
 #include "relay/RelayMetrics.h"
@@ -94,15 +94,15 @@
 {
     m_nextProbeAt = m_context.now() + m_context.settings.probeInterval;
     m_context.metrics.engineProbes.Increment();
-    m_probe = HttpQuestion::ask(m_context.ioContext, m_run->endpoint->openConnection(),
+    m_probe = HttpRoundTrip::ask(m_context.ioContext, m_run->endpoint->openConnection(),
         m_context.protocol.encodeStateQuery(), m_context.settings.probeTimeout,
-        [weak = weak_from_this()](const HttpOutcome& outcome) {
+        [weak = weak_from_this()](const HttpRoundTripResult& outcome) {
             if (const auto self = weak.lock())
                 self->handleProbeAnswer(outcome);
         });
 }
 
-void RunWatch::handleProbeAnswer(const HttpOutcome& outcome)
+void RunWatch::handleProbeAnswer(const HttpRoundTripResult& outcome)
 {
     const auto probe = std::exchange(m_probe, nullptr);
     if (!m_run)
--- a/src/relay/RunWatch.h
+++ b/src/relay/RunWatch.h
@@ -17,8 +17,8 @@
 
 namespace lupinknot::internal {
 
-class HttpQuestion;
-struct HttpOutcome;
+class HttpRoundTrip;
+struct HttpRoundTripResult;
 struct RelayContext;
 struct RelayRequest;
 
@@ -46,14 +46,14 @@
     void check();
     Milliseconds silenceBeforeQuestion(Milliseconds now) const;
     void sendProbe();
-    void handleProbeAnswer(const HttpOutcome&);
+    void handleProbeAnswer(const HttpRoundTripResult&);
     void reportSilent();
 
     RelayContext& m_context;
     const RelayRequest& m_request;
     const Callbacks m_callbacks;
     std::shared_ptr<const StreamRun> m_run;
-    std::shared_ptr<HttpQuestion> m_probe;
+    std::shared_ptr<HttpRoundTrip> m_probe;
     Milliseconds m_nextProbeAt { 0 };
     boost::asio::steady_timer m_timer;
 };
--- a/src/relay/StartupQueue.cpp
+++ b/src/relay/StartupQueue.cpp
@@ -25,7 +25,7 @@
             m_onReleased(request);
     });
     m_held.push_back({ request, std::move(timer) });
-    request.exchange->onGone([this, weak = std::weak_ptr(request.exchange)] {
+    request.exchange->onPeerDisconnected([this, weak = std::weak_ptr(request.exchange)] {
         if (const auto exchange = weak.lock())
             remove(exchange);
     });
--- a/src/settings/SettingsTables.h
+++ b/src/settings/SettingsTables.h
@@ -104,7 +104,8 @@
     { "port", &ClusterSettings::port, 0, maxPort, "Port for these connections; 0 chooses a free port." },
     { "heartbeat_ms", &ClusterSettings::heartbeatInterval, 1, maxMilliseconds,
         "Interval between two heartbeats to a peer." },
-    { "silence_ms", &ClusterSettings::silence, 1, maxMilliseconds, "Silence of a peer after which it counts as lost." },
+    { "silence_ms", &ClusterSettings::silenceTimeout, 1, maxMilliseconds,
+        "Silence of a peer after which it counts as lost." },
     { "reconnect_ms", &ClusterSettings::reconnectInterval, 1, maxMilliseconds,
         "Delay before reconnecting to a lost peer." },
 };
--- a/test/HttpServerTest.cpp
+++ b/test/HttpServerTest.cpp
@@ -200,7 +200,7 @@
     ManualResponseServer server;
     RawConnection peer(server.port());
     peer.send(request);
-    server.exchange(0)->onGone([&server] { server.notePeerDisconnected(); });
+    server.exchange(0)->onPeerDisconnected([&server] { server.notePeerDisconnected(); });
     peer.close();
     server.waitForPeerDisconnect();
 }
@@ -211,7 +211,7 @@
     RawConnection peer(server.port());
     peer.send(request);
     const auto exchange = server.exchange(0);
-    exchange->onGone([&server] { server.notePeerDisconnected(); });
+    exchange->onPeerDisconnected([&server] { server.notePeerDisconnected(); });
     exchange->stream({ 200, {}, {} }, std::make_shared<EndlessSource>());
     peer.readUntil("xxx");
     peer.close();
@@ -228,7 +228,7 @@
     peer.send(request);
     const auto source = std::make_shared<EndlessSource>();
     const auto exchange = server.exchange(0);
-    exchange->onGone([&server] { server.notePeerDisconnected(); });
+    exchange->onPeerDisconnected([&server] { server.notePeerDisconnected(); });
     exchange->stream({ 200, {}, {} }, source);
     server.waitForPeerDisconnect();
     CHECK_TEXT(source->produced < moreThanSocketBuffers,
--- a/test/RelayHarness.h
+++ b/test/RelayHarness.h
@@ -3,7 +3,7 @@
 
 #include "PlatformCallProtocol.h"
 #include "ScriptedEndpoint.h"
-#include "http/HttpQuestion.h"
+#include "http/HttpRoundTrip.h"
 #include "relay/RelayConfiguration.h"
 #include "relay/RelayDaemon.h"
 #include "relay/RelaySettings.h"
@@ -14,9 +14,9 @@
 // A caller's request and the part of the response that has been received.
 class TestCaller final : public ClientConnectionListener, public std::enable_shared_from_this<TestCaller> {
 public:
-    void answerHead(const HttpResponse& response) override { head = response; }
-    void answerBody(std::string_view piece) override { body.append(piece); }
-    bool answerEnd() override
+    void responseHeaderReceived(const HttpResponse& response) override { head = response; }
+    void responseBodyReceived(std::string_view piece) override { body.append(piece); }
+    bool responseEnded() override
     {
         isWhole = true;
         return false;
