--- a/src/daemon/CompletionHandler.cpp
+++ b/src/daemon/CompletionHandler.cpp
@@ -101,7 +101,7 @@
             "Idempotency-Key", RunOutcome::NotRun, {} };
     if (admission.verdict == AdmissionVerdict::Full)
         return JsonError { 503, "too_many_generations",
-            "this VM holds as many generations as its limit allows: " + std::to_string(settings.maxHeld), "",
+            "this VM holds as many generations as its limit allows: " + std::to_string(settings.maxGenerations), "",
             RunOutcome::NotRun, settings.retryAfter };
     const bool isNotHeld = admission.verdict == AdmissionVerdict::NotHeld;
     const bool isBeyond = !request.resumeGeneration.empty() && !isNotHeld
--- a/src/daemon/LiveGeneration.cpp
+++ b/src/daemon/LiveGeneration.cpp
@@ -257,7 +257,7 @@
 void LiveGeneration::journalUnprotected()
 {
     const std::lock_guard lock(m_mutex);
-    const bool mayGoOn = m_request.repeatable && m_context.settings.journal.goOnUnprotected;
+    const bool mayGoOn = m_request.repeatable && m_context.settings.journal.continuesWithoutPeers;
     // What has begun goes on: a caller is better served by an answer that could be lost than by none.
     const bool mustStop = !m_driver.isStarted() && !mayGoOn;
     logWarning(LogComponent::Journal,
@@ -366,7 +366,7 @@
     }
     m_journaledAttempt = JournaledAttempt { order.number, order.endpoint, streamId(order.number), order.position };
     m_attempt = std::make_shared<EngineAttempt>(shared_from_this(), order, order.position);
-    const auto keep = isJournaled() ? m_context.settings.journal.keepStream : Milliseconds::zero();
+    const auto keep = isJournaled() ? m_context.settings.journal.detachedRunTime : Milliseconds::zero();
     const auto message = engineRequest(m_request, { streamId(order.number), keep }, prefix());
     m_attempt->start(m_context.calls, m_endpoint->settings().socketAddress(), message, callTimeout);
 }
--- a/src/settings/DaemonSettings.h
+++ b/src/settings/DaemonSettings.h
@@ -37,7 +37,7 @@
     // Maximum of `max_tokens` in a request.
     std::int64_t maxTokens { 32768 };
     // Limit of the generations in memory, running or finished; further ones are refused.
-    std::int64_t maxHeld { 20000 };
+    std::int64_t maxGenerations { 20000 };
     // The retry delay that a refused caller is told.
     Milliseconds retryAfter { 1000 };
 };
@@ -102,9 +102,9 @@
     // How long changes are collected before they are sent to a peer as one batch.
     Milliseconds flushInterval { 1 };
     // Whether generations continue while no other VM can be reached, although a crash of this VM would lose them.
-    bool goOnUnprotected { true };
+    bool continuesWithoutPeers { true };
     // How long an engine continues a generation without a connection, so that another VM can attach to it.
-    Milliseconds keepStream { 3000 };
+    Milliseconds detachedRunTime { 3000 };
 };
 
 struct DaemonSettings {
--- a/src/settings/SettingsTables.h
+++ b/src/settings/SettingsTables.h
@@ -51,7 +51,7 @@
         "How long a repeatable generation with an Idempotency-Key continues after its caller disconnects; 0 cancels "
         "it at once." },
     { "max_tokens", &GenerationSettings::maxTokens, 1, 1000000, "Maximum of `max_tokens` in a request." },
-    { "max_held", &GenerationSettings::maxHeld, 1, 10000000,
+    { "max_held", &GenerationSettings::maxGenerations, 1, 10000000,
         "Limit of the generations in memory, running or finished; further ones are refused with 503." },
     { "retry_after_ms", &GenerationSettings::retryAfter, 1, maxMilliseconds,
         "Retry delay that a refused caller is told." },
@@ -113,9 +113,9 @@
 inline const std::vector<SettingField<JournalSettings>> journalFields {
     { "flush_ms", &JournalSettings::flushInterval, 0, maxMilliseconds,
         "How long changes are collected before they are sent to a peer as one batch." },
-    { "go_on_unprotected", &JournalSettings::goOnUnprotected, 0, 0,
+    { "go_on_unprotected", &JournalSettings::continuesWithoutPeers, 0, 0,
         "Whether repeatable generations continue while no peer can be reached; if not, they are refused." },
-    { "keep_stream_ms", &JournalSettings::keepStream, 0, maxMilliseconds,
+    { "keep_stream_ms", &JournalSettings::detachedRunTime, 0, maxMilliseconds,
         "How long an engine continues a keyed generation after this VM is lost, so that a peer can attach." },
 };
 
