--- a/src/relay/BufferedCall.cpp
+++ b/src/relay/BufferedCall.cpp
@@ -454,8 +454,9 @@
         .number("took_ms", (now - m_request.admittedAt).count())
         .write();
     m_context.metrics.countRequest(m_request.route->kind, traits.status, now - m_request.admittedAt);
-    const auto comeBackIn = reason == RefusalReason::HeldInQuarantine ? m_context.crashGuard.heldFor(m_request.digest)
-                                                                      : retryDelayAfterRefusal(unplaced(reason), now);
+    const auto comeBackIn = reason == RefusalReason::HeldInQuarantine
+        ? m_context.crashGuard.quarantineTimeLeft(m_request.digest)
+        : retryDelayAfterRefusal(unplaced(reason), now);
     m_request.exchange->respond(refusal(m_context, reason, comeBackIn));
     finish();
 }
--- a/src/relay/BufferedCall.h
+++ b/src/relay/BufferedCall.h
@@ -10,11 +10,11 @@
 // relay's thread only. Owned by its pending timers and the exchange's callback.
 #pragma once
 
-#include "relay/CrashWatch.h"
+#include "relay/CrashTracker.h"
 #include "relay/EndpointCall.h"
 #include "relay/RelayRefusal.h"
 #include "relay/RelayRequest.h"
-#include "relay/RolloutPart.h"
+#include "relay/RequestRollout.h"
 #include <boost/asio/steady_timer.hpp>
 #include <vector>
 
@@ -83,8 +83,8 @@
 
     RelayContext& m_context;
     const RelayRequest m_request;
-    RolloutPart m_rollout;
-    CrashWatch m_crashWatch;
+    RequestRollout m_rollout;
+    CrashTracker m_crashWatch;
     std::vector<std::unique_ptr<Attempt>> m_attempts;
     // Set while a permit request is pending.
     std::shared_ptr<PermitWait> m_permit;
--- a/src/relay/CrashGuard.cpp
+++ b/src/relay/CrashGuard.cpp
@@ -64,7 +64,7 @@
                                                                     : QuarantineStatus::Free;
 }
 
-Milliseconds CrashGuard::heldFor(const std::string& digest) const
+Milliseconds CrashGuard::quarantineTimeLeft(const std::string& digest) const
 {
     return std::max(m_quarantine.heldUntil(digest) - m_clock.now(), m_settings.retryAfter);
 }
@@ -184,7 +184,7 @@
     LogEvent("quarantine.held")
         .text("digest", record.digest)
         .text("last_endpoint", record.endpointId)
-        .number("for_ms", heldFor(record.digest).count())
+        .number("for_ms", quarantineTimeLeft(record.digest).count())
         .number("suspects", static_cast<std::int64_t>(m_quarantine.suspectCount()))
         .write();
     notifyListeners(record.digest);
@@ -222,13 +222,13 @@
         m_reports->withdraw(digest, endpoints);
 }
 
-void CrashGuard::take(const CrashRecord& record)
+void CrashGuard::addRemoteRecord(const CrashRecord& record)
 {
     if (m_settings.policies.has(Policy::CrashQuarantine) && !m_served.has(record.digest, m_clock.now()))
         add(record, true);
 }
 
-void CrashGuard::drop(const std::string& digest, const std::string& endpointId)
+void CrashGuard::removeRemoteRecord(const std::string& digest, const std::string& endpointId)
 {
     m_quarantine.remove(digest, endpointId);
 }
--- a/src/relay/CrashGuard.h
+++ b/src/relay/CrashGuard.h
@@ -64,7 +64,7 @@
     bool admit(const std::string& digest) { return m_quarantine.admit(digest, m_clock.now()); }
     QuarantineStatus quarantineStatus(const std::string& digest) const;
     // Time until the quarantine ends or a trial in progress may be over; at least RelaySettings::retryAfter.
-    Milliseconds heldFor(const std::string& digest) const;
+    Milliseconds quarantineTimeLeft(const std::string& digest) const;
     // True when any loss counts against the request, evaluated or pending.
     bool isSuspect(const std::string& digest) const;
     // Notifies the listener when the request is quarantined, until removeListener().
@@ -78,8 +78,8 @@
     void noteHarmless(const std::string& digest);
 
     // A record that another VM has published, or has withdrawn.
-    void take(const CrashRecord&);
-    void drop(const std::string& digest, const std::string& endpointId);
+    void addRemoteRecord(const CrashRecord&);
+    void removeRemoteRecord(const std::string& digest, const std::string& endpointId);
 
 private:
     struct PendingLoss {
--- a/src/relay/CrashWatch.h
+++ b/src/relay/CrashTracker.h
@@ -1,6 +1,6 @@
 // Connects one call's request to the CrashGuard: reports its losses and tells the call when the request is quarantined.
 //
-//     CrashWatch watch(context, request);
+//     CrashTracker watch(context, request);
 //     watch.begin([this] { quarantined(); });      // Called when the request is quarantined.
 //     watch.noteUnfinished(endpoint, sentAt, run); // An endpoint did not finish a run of the request.
 //     if (decideAttempt(watch.attemptState(runs)) == AttemptDecision::Allowed) ...  // Another attempt may be sent.
@@ -19,12 +19,12 @@
 struct RelayContext;
 struct RelayRequest;
 
-class CrashWatch {
+class CrashTracker {
 public:
-    CrashWatch(RelayContext&, const RelayRequest&);
-    ~CrashWatch();
-    CrashWatch(const CrashWatch&) = delete;
-    CrashWatch& operator=(const CrashWatch&) = delete;
+    CrashTracker(RelayContext&, const RelayRequest&);
+    ~CrashTracker();
+    CrashTracker(const CrashTracker&) = delete;
+    CrashTracker& operator=(const CrashTracker&) = delete;
 
     // The callback is never called after end(), nor from within a call to this object.
     void begin(std::function<void()> onQuarantined);
--- a/src/relay/EngineChoice.cpp
+++ b/src/relay/EngineChoice.cpp
@@ -9,7 +9,7 @@
 #include "relay/RelayContext.h"
 #include "relay/RelayRequest.h"
 #include "relay/RelaySettings.h"
-#include "relay/RolloutPart.h"
+#include "relay/RequestRollout.h"
 #include "relay/RunLocations.h"
 #include "relay/StreamRun.h"
 
@@ -18,12 +18,12 @@
 namespace lupinknot::internal {
 
 std::shared_ptr<EngineChoice> EngineChoice::make(
-    RelayContext& context, const RelayRequest& request, RolloutPart& rollout)
+    RelayContext& context, const RelayRequest& request, RequestRollout& rollout)
 {
     return std::shared_ptr<EngineChoice>(new EngineChoice(context, request, rollout));
 }
 
-EngineChoice::EngineChoice(RelayContext& context, const RelayRequest& request, RolloutPart& rollout)
+EngineChoice::EngineChoice(RelayContext& context, const RelayRequest& request, RequestRollout& rollout)
     : m_context(context)
     , m_request(request)
     , m_rollout(rollout)
--- a/src/relay/EngineChoice.h
+++ b/src/relay/EngineChoice.h
@@ -22,7 +22,7 @@
 
 class EngineLoadProbe;
 class RelayEndpoint;
-class RolloutPart;
+class RequestRollout;
 class RunLocations;
 struct PlacementRequest;
 struct RelayContext;
@@ -41,7 +41,7 @@
     using Callback = std::function<void(const std::shared_ptr<RelayEndpoint>&)>;
 
     // The context, the request and the rollout must outlive it.
-    static std::shared_ptr<EngineChoice> make(RelayContext&, const RelayRequest&, RolloutPart&);
+    static std::shared_ptr<EngineChoice> make(RelayContext&, const RelayRequest&, RequestRollout&);
     ~EngineChoice();
 
     // For a caller who reconnects, asks other VMs where the request ran, and calls back once. Returns false, without a
@@ -75,7 +75,7 @@
     std::optional<EndpointAvailability> nextAvailability() const;
 
 private:
-    EngineChoice(RelayContext&, const RelayRequest&, RolloutPart&);
+    EngineChoice(RelayContext&, const RelayRequest&, RequestRollout&);
     // Null where VMs do not share run locations.
     RunLocations* runLocations() const;
     void onEarlierRunFound(const std::optional<RunLocation>&);
@@ -90,7 +90,7 @@
 
     RelayContext& m_context;
     const RelayRequest& m_request;
-    RolloutPart& m_rollout;
+    RequestRollout& m_rollout;
     Engines m_failed;
     std::shared_ptr<RelayEndpoint> m_earlierEngine;
     std::shared_ptr<RelayEndpoint> m_copyHolder;
--- a/src/relay/EventStreamCall.cpp
+++ b/src/relay/EventStreamCall.cpp
@@ -11,9 +11,9 @@
 #include "relay/RelayMetrics.h"
 #include "relay/RelaySettings.h"
 #include "relay/RunCopy.h"
+#include "relay/RunLivenessMonitor.h"
 #include "relay/RunMover.h"
 #include "relay/RunRelocation.h"
-#include "relay/RunWatch.h"
 #include "relay/StreamLog.h"
 #include "relay/StreamResponse.h"
 
@@ -58,7 +58,7 @@
                 (self.get()->*action)();
         };
     };
-    m_watch = RunWatch::make(m_context, m_request,
+    m_watch = RunLivenessMonitor::make(m_context, m_request,
         { ifNotFinished(&EventStreamCall::runStalled), ifNotFinished(&EventStreamCall::considerMove) });
     m_mover
         = std::make_unique<RunMover>(m_context, m_request, m_rollout, [weak = weak_from_this()](const RunMove& move) {
@@ -405,9 +405,9 @@
 
 void EventStreamCall::considerMove()
 {
-    const bool leavesAttempt = m_possibleRuns + 1 < m_request.route->maxAttempts;
+    const bool hasAttemptLeft = m_possibleRuns + 1 < m_request.route->maxAttempts;
     const auto expectedTimeLeft = m_answer->expectedTimeLeft(m_pace.maxEvents(), m_context.now());
-    m_mover->consider(*m_run, { leavesAttempt, expectedTimeLeft }, m_choice->failed());
+    m_mover->consider(*m_run, { hasAttemptLeft, expectedTimeLeft }, m_choice->failed());
 }
 
 void EventStreamCall::moveFinished(const RunMove& move)
@@ -467,7 +467,7 @@
     if (reason == RefusalReason::TooLittleTime)
         comeBackIn = std::max(m_request.deadline - m_context.now(), m_context.settings.retryAfter);
     if (reason == RefusalReason::HeldInQuarantine)
-        comeBackIn = m_context.crashGuard.heldFor(m_request.digest);
+        comeBackIn = m_context.crashGuard.quarantineTimeLeft(m_request.digest);
     if (const auto opening = isUnavailabilityRefusal(reason) ? m_choice->nextAvailability() : std::nullopt)
         comeBackIn = retryDelayUntilAvailable(*opening, fractionOfName(m_request.fields.requestId), m_context.now());
     m_request.exchange->respond(refusal(m_context, reason, comeBackIn));
--- a/src/relay/EventStreamCall.h
+++ b/src/relay/EventStreamCall.h
@@ -9,11 +9,11 @@
 // Owned by its pending timers and the exchange's callback.
 #pragma once
 
-#include "relay/CrashWatch.h"
+#include "relay/CrashTracker.h"
 #include "relay/EndpointCall.h"
 #include "relay/RelayRefusal.h"
 #include "relay/RelayRequest.h"
-#include "relay/RolloutPart.h"
+#include "relay/RequestRollout.h"
 #include "relay/StreamRun.h"
 #include "relay/StreamTiming.h"
 #include <boost/asio/steady_timer.hpp>
@@ -24,7 +24,7 @@
 class EngineChoice;
 class PermitWait;
 class RunMover;
-class RunWatch;
+class RunLivenessMonitor;
 class StreamResponse;
 struct RunMove;
 
@@ -78,13 +78,13 @@
     RelayContext& m_context;
     const RelayRequest m_request;
     StreamTiming m_pace;
-    RolloutPart m_rollout;
-    CrashWatch m_crashWatch;
+    RequestRollout m_rollout;
+    CrashTracker m_crashWatch;
     const std::shared_ptr<EngineChoice> m_choice;
     const std::shared_ptr<StreamResponse> m_answer;
     std::shared_ptr<StreamRun> m_run;
     // Set by begin().
-    std::shared_ptr<RunWatch> m_watch;
+    std::shared_ptr<RunLivenessMonitor> m_watch;
     // Set while a permit request is pending.
     std::shared_ptr<PermitWait> m_permit;
     // Set by begin().
--- a/src/relay/RelayHandler.cpp
+++ b/src/relay/RelayHandler.cpp
@@ -145,7 +145,7 @@
         .write();
     std::optional<Milliseconds> comeBackIn;
     if (reason == RefusalReason::HeldInQuarantine)
-        comeBackIn = m_context.crashGuard.heldFor(request.digest);
+        comeBackIn = m_context.crashGuard.quarantineTimeLeft(request.digest);
     request.exchange->respond(refusal(m_context, reason, comeBackIn));
 }
 
--- a/src/relay/RolloutPart.cpp
+++ b/src/relay/RequestRollout.cpp
@@ -1,4 +1,4 @@
-#include "relay/RolloutPart.h"
+#include "relay/RequestRollout.h"
 
 #include "relay/EndpointDirectory.h"
 #include "relay/RelayContext.h"
@@ -18,20 +18,20 @@
 
 } // namespace
 
-RolloutPart::RolloutPart(RelayContext& context, const RelayRequest& request)
+RequestRollout::RequestRollout(RelayContext& context, const RelayRequest& request)
     : m_context(context)
     , m_request(request)
 {
 }
 
-bool RolloutPart::hasRunner(const VersionChoice& choice) const
+bool RequestRollout::hasRunner(const VersionChoice& choice) const
 {
     const auto& runners = m_context.directory.endpointsOf(m_request.service);
     return std::any_of(runners.begin(), runners.end(),
         [&choice](const auto& runner) { return !runner->isLeaving() && choice.admits(runner->entry().version); });
 }
 
-VersionChoice RolloutPart::next()
+VersionChoice RequestRollout::next()
 {
     auto* const rollout = m_context.rollouts.find(m_request.service);
     if (!rollout)
@@ -48,7 +48,7 @@
     return *m_firstChoice;
 }
 
-VersionChoice RolloutPart::choiceForCopies(const RelayEndpoint& engine) const
+VersionChoice RequestRollout::choiceForCopies(const RelayEndpoint& engine) const
 {
     const auto* const rollout = m_context.rollouts.find(m_request.service);
     if (!rollout)
@@ -60,7 +60,7 @@
     return hasRunner(choice) ? choice : VersionChoice {};
 }
 
-void RolloutPart::noteAnswer(const RelayEndpoint& endpoint, AnswerQuality quality) const
+void RequestRollout::noteAnswer(const RelayEndpoint& endpoint, AnswerQuality quality) const
 {
     auto* const rollout = m_context.rollouts.find(m_request.service);
     if (!rollout || rollout->decision() != RolloutDecision::Undecided)
@@ -70,7 +70,8 @@
         m_request.route->name, isCandidate ? RunnerVersion::Candidate : RunnerVersion::Present, quality);
 }
 
-void RolloutPart::noteAnswerAfter(const RelayEndpoint& endpoint, Milliseconds latency, Milliseconds usualLatency) const
+void RequestRollout::noteAnswerAfter(
+    const RelayEndpoint& endpoint, Milliseconds latency, Milliseconds usualLatency) const
 {
     const bool isSlow = latency > std::max(slowFactor * usualLatency, minSlowLatency);
     noteAnswer(endpoint, isSlow ? AnswerQuality::Bad : AnswerQuality::Good);
--- a/src/relay/RolloutPart.h
+++ b/src/relay/RequestRollout.h
@@ -1,7 +1,7 @@
 // One request's part in its service's rollout, if there is one: selects the versions of the runners to which the
 // request may be sent, and reports the quality of their answers.
 //
-//     RolloutPart part(context, request);
+//     RequestRollout part(context, request);
 //     wanted.version = part.next();                // The same choice until the request has been sent.
 //     part.noteSent();
 //     part.noteAnswer(*endpoint, AnswerQuality::Bad);
@@ -20,9 +20,9 @@
 struct RelayContext;
 struct RelayRequest;
 
-class RolloutPart {
+class RequestRollout {
 public:
-    RolloutPart(RelayContext&, const RelayRequest&);
+    RequestRollout(RelayContext&, const RelayRequest&);
 
     // Runners for the next send. Only the first send may go to the candidate version; retries and hedges may not.
     VersionChoice next();
--- a/src/relay/RunWatch.cpp
+++ b/src/relay/RunLivenessMonitor.cpp
@@ -1,4 +1,4 @@
-#include "relay/RunWatch.h"
+#include "relay/RunLivenessMonitor.h"
 
 #include "http/HttpRoundTrip.h"
 #include "relay/EndpointDirectory.h"
@@ -20,12 +20,13 @@
 
 } // namespace
 
-std::shared_ptr<RunWatch> RunWatch::make(RelayContext& context, const RelayRequest& request, Callbacks callbacks)
+std::shared_ptr<RunLivenessMonitor> RunLivenessMonitor::make(
+    RelayContext& context, const RelayRequest& request, Callbacks callbacks)
 {
-    return std::shared_ptr<RunWatch>(new RunWatch(context, request, std::move(callbacks)));
+    return std::shared_ptr<RunLivenessMonitor>(new RunLivenessMonitor(context, request, std::move(callbacks)));
 }
 
-RunWatch::RunWatch(RelayContext& context, const RelayRequest& request, Callbacks callbacks)
+RunLivenessMonitor::RunLivenessMonitor(RelayContext& context, const RelayRequest& request, Callbacks callbacks)
     : m_context(context)
     , m_request(request)
     , m_callbacks(std::move(callbacks))
@@ -33,9 +34,9 @@
 {
 }
 
-RunWatch::~RunWatch() = default;
+RunLivenessMonitor::~RunLivenessMonitor() = default;
 
-void RunWatch::begin(std::shared_ptr<const StreamRun> run)
+void RunLivenessMonitor::begin(std::shared_ptr<const StreamRun> run)
 {
     m_probe.reset();
     m_run = std::move(run);
@@ -43,14 +44,14 @@
     scheduleCheck();
 }
 
-void RunWatch::stop()
+void RunLivenessMonitor::stop()
 {
     m_run.reset();
     m_probe.reset();
     m_timer.cancel();
 }
 
-void RunWatch::scheduleCheck()
+void RunLivenessMonitor::scheduleCheck()
 {
     m_timer.expires_after(m_context.settings.probeAfterSilenceInDoubt);
     m_timer.async_wait([weak = weak_from_this()](boost::system::error_code error) {
@@ -60,7 +61,7 @@
     });
 }
 
-void RunWatch::check()
+void RunLivenessMonitor::check()
 {
     const auto now = m_context.now();
     const auto& settings = m_context.settings;
@@ -72,25 +73,25 @@
     // Events of other streams also show that the engine is alive.
     const auto silence = now - std::max(m_run->lastActivity, m_run->endpoint->lastAliveAt());
     const bool mayProbe = m_context.has(Policy::LivenessQuestions) && !m_run->endpoint->isInBackOff(now);
-    if (mayProbe && silence >= silenceBeforeQuestion(now) && now >= m_nextProbeAt && !m_probe)
+    if (mayProbe && silence >= silenceBeforeProbe(now) && now >= m_nextProbeAt && !m_probe)
         sendProbe();
     m_callbacks.onChecked();
     if (m_run)
         scheduleCheck();
 }
 
-Milliseconds RunWatch::silenceBeforeQuestion(Milliseconds now) const
+Milliseconds RunLivenessMonitor::silenceBeforeProbe(Milliseconds now) const
 {
     const auto& settings = m_context.settings;
     const auto& pace = m_context.pace(m_request.service);
     if (m_context.directory.isZoneAvoided(m_run->endpoint->entry().availabilityZone, now))
         return settings.probeAfterSilenceInDoubt;
     if (m_run->hasEvent || m_run->isFromCopy)
-        return pace.silenceBeforeQuestion(settings.probeAfterSilence);
+        return pace.silenceBeforeProbe(settings.probeAfterSilence);
     return settings.prefillPatience + pace.silenceBeforeFirstEvent(m_request.fields.promptTokens);
 }
 
-void RunWatch::sendProbe()
+void RunLivenessMonitor::sendProbe()
 {
     m_nextProbeAt = m_context.now() + m_context.settings.probeInterval;
     m_context.metrics.engineProbes.Increment();
@@ -102,7 +103,7 @@
         });
 }
 
-void RunWatch::handleProbeAnswer(const HttpRoundTripResult& outcome)
+void RunLivenessMonitor::handleProbeAnswer(const HttpRoundTripResult& outcome)
 {
     const auto probe = std::exchange(m_probe, nullptr);
     if (!m_run)
@@ -115,7 +116,7 @@
         reportSilent();
 }
 
-void RunWatch::reportSilent()
+void RunLivenessMonitor::reportSilent()
 {
     stop();
     m_callbacks.onSilent();
--- a/src/relay/RunWatch.h
+++ b/src/relay/RunLivenessMonitor.h
@@ -4,7 +4,7 @@
 // of the engine's availability zone. An engine counts as silent when it does not answer a probe, or when its stream
 // pauses for too long although it answers. A run that must not be repeated is probed, but never counts as silent.
 //
-//     const auto watch = RunWatch::make(context, request, { onSilent, onChecked });
+//     const auto watch = RunLivenessMonitor::make(context, request, { onSilent, onChecked });
 //     watch->begin(run);               // Until stop() or the next run.
 //
 // Used on the relay's thread only. Owned by the stream's call; after the call is gone neither callbacks nor the timer
@@ -22,7 +22,7 @@
 struct RelayContext;
 struct RelayRequest;
 
-class RunWatch : public std::enable_shared_from_this<RunWatch> {
+class RunLivenessMonitor : public std::enable_shared_from_this<RunLivenessMonitor> {
 public:
     struct Callbacks {
         // The engine has become silent. Called at most once per run.
@@ -32,8 +32,8 @@
     };
 
     // The request must outlive the watch.
-    static std::shared_ptr<RunWatch> make(RelayContext&, const RelayRequest&, Callbacks);
-    ~RunWatch();
+    static std::shared_ptr<RunLivenessMonitor> make(RelayContext&, const RelayRequest&, Callbacks);
+    ~RunLivenessMonitor();
 
     void begin(std::shared_ptr<const StreamRun>);
     // An event of the run has arrived, which answers a pending probe.
@@ -41,10 +41,10 @@
     void stop();
 
 private:
-    RunWatch(RelayContext&, const RelayRequest&, Callbacks);
+    RunLivenessMonitor(RelayContext&, const RelayRequest&, Callbacks);
     void scheduleCheck();
     void check();
-    Milliseconds silenceBeforeQuestion(Milliseconds now) const;
+    Milliseconds silenceBeforeProbe(Milliseconds now) const;
     void sendProbe();
     void handleProbeAnswer(const HttpRoundTripResult&);
     void reportSilent();
--- a/src/relay/RunMover.cpp
+++ b/src/relay/RunMover.cpp
@@ -8,7 +8,7 @@
 #include "relay/RelayContext.h"
 #include "relay/RelayRequest.h"
 #include "relay/RelaySettings.h"
-#include "relay/RolloutPart.h"
+#include "relay/RequestRollout.h"
 #include "relay/RunCopy.h"
 #include "relay/RunRelocation.h"
 #include "relay/StreamRun.h"
@@ -17,7 +17,7 @@
 
 namespace lupinknot::internal {
 
-RunMover::RunMover(RelayContext& context, const RelayRequest& request, RolloutPart& rollout, Callback callback)
+RunMover::RunMover(RelayContext& context, const RelayRequest& request, RequestRollout& rollout, Callback callback)
     : m_context(context)
     , m_request(request)
     , m_rollout(rollout)
@@ -60,8 +60,8 @@
         = service && service->copiesRunningMemory && m_request.route->mayRunAgain() && !run.endpoint->isInBackOff(now);
     // A run at a candidate version is not sent to that version again, and its KV cache cannot move to another version.
     const bool isVersionAllowed = m_rollout.next().admits(run.endpoint->entry().version);
-    return isPossible && isVersionAllowed && outlook.leavesAttempt && run.hasEvent
-        && outlook.expectedRest >= m_context.settings.minTimeLeftForRelocation
+    return isPossible && isVersionAllowed && outlook.hasAttemptLeft && run.hasEvent
+        && outlook.expectedTimeLeft >= m_context.settings.minTimeLeftForRelocation
         && !m_context.directory.isZoneAvoided(run.endpoint->entry().availabilityZone, now);
 }
 
--- a/src/relay/RunMover.h
+++ b/src/relay/RunMover.h
@@ -2,7 +2,7 @@
 // is updated while the run continues).
 //
 //     RunMover mover(context, request, rollout, [this](const RunMove& move) { ... });
-//     mover.consider(run, { leavesAttempt, expectedRest }, failedEngines);   // Called periodically.
+//     mover.consider(run, { hasAttemptLeft, expectedTimeLeft }, failedEngines);   // Called periodically.
 //
 // A retry is taken from the budget when a move begins, because a run that has been stopped must be continued. The user
 // of the mover returns the retry when the run was not stopped.
@@ -18,7 +18,7 @@
 namespace lupinknot::internal {
 
 class RelayEndpoint;
-class RolloutPart;
+class RequestRollout;
 class RunRelocation;
 struct RelayContext;
 struct RelayRequest;
@@ -37,9 +37,9 @@
 // What remains of a stream.
 struct StreamOutlook {
     // True when the request may make another attempt after the move.
-    bool leavesAttempt { false };
+    bool hasAttemptLeft { false };
     // Expected time until the stream ends.
-    Milliseconds expectedRest { 0 };
+    Milliseconds expectedTimeLeft { 0 };
 };
 
 class RunMover {
@@ -48,7 +48,7 @@
     using Engines = std::vector<std::shared_ptr<RelayEndpoint>>;
 
     // The context, the request and the request's rollout must outlive the mover.
-    RunMover(RelayContext&, const RelayRequest&, RolloutPart&, Callback);
+    RunMover(RelayContext&, const RelayRequest&, RequestRollout&, Callback);
     ~RunMover();
     RunMover(const RunMover&) = delete;
     RunMover& operator=(const RunMover&) = delete;
@@ -68,7 +68,7 @@
 
     RelayContext& m_context;
     const RelayRequest& m_request;
-    RolloutPart& m_rollout;
+    RequestRollout& m_rollout;
     const Callback m_callback;
     std::shared_ptr<RunRelocation> m_relocation;
     // Earliest time of the next move. 0 until a first delay is set, which spreads the moves of many streams.
--- a/src/relay/ServicePace.h
+++ b/src/relay/ServicePace.h
@@ -40,7 +40,7 @@
 
     // How long a run may be silent before its engine is probed for liveness. While an engine prefills a prompt, its
     // other runs take five times as long per event. The setting applies until the pace is known.
-    Milliseconds silenceBeforeQuestion(Milliseconds setting) const
+    Milliseconds silenceBeforeProbe(Milliseconds setting) const
     {
         if (!eventInterval.isKnown())
             return setting;
--- a/test/PeerRunLocationsTest.cpp
+++ b/test/PeerRunLocationsTest.cpp
@@ -43,7 +43,7 @@
 public:
     void note(const std::string&, const RunLocation&) override { }
     void forget(const std::string&) override { }
-    void find(const std::string&, Found found) override
+    void find(const std::string&, FindCallback found) override
     {
         ++searches;
         found(std::nullopt);
--- a/test/ServicePaceTest.cpp
+++ b/test/ServicePaceTest.cpp
@@ -19,7 +19,7 @@
 TEST(ServicePace, UsesDefaultsWithoutSamples)
 {
     LONGS_EQUAL(75, pace.hedgeDelay().count());
-    LONGS_EQUAL(170, pace.silenceBeforeQuestion(Milliseconds { 170 }).count());
+    LONGS_EQUAL(170, pace.silenceBeforeProbe(Milliseconds { 170 }).count());
     LONGS_EQUAL_TEXT(1500, pace.silenceBeforeFirstEvent(5000).count(), "1.5 times the prefill time");
     LONGS_EQUAL(1000, prefillTime({ 5000, 0 }, pace.engine()).count());
 }
@@ -28,7 +28,7 @@
 {
     fill(pace.eventInterval, 62);
     fill(pace.prefillTimePerToken, 0.4);
-    LONGS_EQUAL(341, pace.silenceBeforeQuestion(Milliseconds { 170 }).count());
+    LONGS_EQUAL(341, pace.silenceBeforeProbe(Milliseconds { 170 }).count());
     LONGS_EQUAL(3000, pace.silenceBeforeFirstEvent(5000).count());
     LONGS_EQUAL(2000, prefillTime({ 5000, 0 }, pace.engine()).count());
 }
