--- a/src/daemon/AdminHandler.h
+++ b/src/daemon/AdminHandler.h
@@ -1,4 +1,4 @@
-// Answers operators and the balancer: health, readiness, metrics, status, generations.
+// Serves the operators' and load balancer's requests: health, readiness, metrics, status, drain and single generations.
 #pragma once
 
 #include "daemon/GenerationContext.h"
@@ -19,7 +19,7 @@
 public:
     AdminHandler(const GenerationContext&, const GenerationRegistry&, const PlatformReader&);
 
-    // Sets what a request to drain this VM calls.
+    // Sets the callback of a request to drain this VM.
     void onDrain(std::function<void()> callback) { m_onDrain = std::move(callback); }
     void setReady(bool isReady) { m_isReady = isReady; }
     void handle(const std::shared_ptr<HttpExchange>&);
--- a/src/daemon/AttemptRecord.h
+++ b/src/daemon/AttemptRecord.h
@@ -1,4 +1,4 @@
-// What became of one attempt, for operators.
+// The outcome of one attempt, as the operators' interface reports it.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -12,10 +12,11 @@
 struct AttemptRecord {
     AttemptNumber number { 0 };
     std::string endpoint;
-    // The attempt's first position.
+    // Position of the attempt's first token in the answer.
     std::size_t position { 0 };
     std::optional<FailureKind> failure;
-    // Once its first token has come after a loss: what the loss cost.
+    // Set by the first token after a loss: the time since the last token before the loss, and since the loss was
+    // detected.
     std::optional<Milliseconds> resumeGap;
     std::optional<Milliseconds> resumeAfterDetection;
 };
--- a/src/daemon/Cluster.cpp
+++ b/src/daemon/Cluster.cpp
@@ -13,7 +13,8 @@
 
 constexpr Milliseconds queryTimeout { 200 };
 constexpr Milliseconds joinPollInterval { 5 };
-// All VMs of the settings form one view that does not change; a record whose runner is lost stays with its replica.
+// All VMs in the settings form one fixed view; when the VM that runs a record is lost, the record stays with its
+// replica.
 constexpr std::uint64_t staticEpoch = 1;
 
 PeerNetworkSettings networkSettings(
@@ -91,7 +92,7 @@
         return;
     }
     if (const auto placement = placeByOwnRecord(key)) {
-        // An older record may have been left here when the runner moved its journal, so the others are asked first.
+        // The runner may have moved its journal and left an older record here, so the other VMs are asked first.
         if (placement->kind == KeyPlacement::Kind::TakeOver)
             ask(key, std::move(decide));
         else
@@ -123,7 +124,7 @@
         const std::lock_guard lock(m_mutex);
         m_placed[source.get()] = vm;
     }
-    logDebug(LogPart::Journal, "a generation is journaled on VM " + vm + ".");
+    logDebug(LogPart::Journal, "a generation is replicated to VM " + vm + ".");
     link->add(source);
 }
 
@@ -167,8 +168,8 @@
         if (m_links.count(vm)) {
             auto& watchers = m_watchers[vm];
             const auto isGone = [](const std::weak_ptr<PeerWatcher>& other) { return other.expired(); };
-            // Watchers that are gone are cleared out when the list has doubled, so that each is looked at a few times
-            // only.
+            // Expired watchers are removed each time the list has doubled, so that each watcher is checked only a few
+            // times.
             if (watchers.size() == watchers.capacity())
                 watchers.erase(std::remove_if(watchers.begin(), watchers.end(), isGone), watchers.end());
             watchers.push_back(watcher);
@@ -219,7 +220,7 @@
     {
         const std::lock_guard lock(m_mutex);
         const auto entry = m_links.find(peer.vm);
-        // A newer link may be up already.
+        // A newer link to this VM may already be up.
         if (entry == m_links.end() || entry->second.number != peer.link)
             return;
         m_lastChange = m_clock.now();
@@ -241,7 +242,7 @@
     }
 }
 
-// The journals of a lost link go on elsewhere, from their beginning.
+// Moves the journals of a lost link to another VM, which gets them from their start.
 void Cluster::moveJournals(const std::shared_ptr<JournalLink>& journal)
 {
     if (!journal)
@@ -252,7 +253,7 @@
 
 void Cluster::peerMessage(const PeerIdentity& peer, const wire::Envelope& envelope)
 {
-    // A message of a link that was replaced would speak of handles that mean something else now.
+    // The handles in a message of a replaced link may have another meaning on the new link.
     if (!isNewestLink(peer))
         return;
     if (envelope.has_journal()) {
@@ -274,8 +275,8 @@
     }
 }
 
-// A VM that has just started knows nothing and takes no key for new before it has heard of the others. After the time
-// in which a live peer would have been heard, it goes on with those that it has.
+// A VM that has just started holds no records and treats no key as new until it has linked to the other VMs. Once a
+// live peer would have linked, it continues with the VMs that it has reached.
 bool Cluster::hasJoined()
 {
     if (m_hasJoined)
@@ -303,7 +304,7 @@
     return link != m_links.end() && link->second.number == peer.link;
 }
 
-// While nothing has changed for the time that answers are kept, a key that its owner does not know is new.
+// When the reachable VMs have not changed for as long as answers are kept, a key that its owner does not know is new.
 bool Cluster::isSettled() const
 {
     const std::lock_guard lock(m_mutex);
@@ -319,7 +320,7 @@
     return placeByRecord(std::move(*record), runner);
 }
 
-// The most responsible VM that can be reached; nothing when it is this one.
+// The first VM in the key's order of responsibility that can be reached; nothing when it is this one.
 std::optional<PeerIdentity> Cluster::actingOwner(const std::string& key) const
 {
     for (const auto& member : rankMembers(m_view, key)) {
@@ -384,8 +385,8 @@
     query.decide(placementAfter(query));
 }
 
-// The VM that runs the key goes first, then the one that holds most of it; of two that hold as much, the one with the
-// smaller name.
+// Prefers the VM that runs the key, then the one that holds the longest record; of two equally long records, the one on
+// the VM with the smaller name.
 KeyPlacement Cluster::placementAfter(const Query& query) const
 {
     auto local = placeByOwnRecord(query.key);
@@ -402,7 +403,7 @@
     return { KeyPlacement::Kind::Forward, *query.holder, std::nullopt };
 }
 
-// The most responsible VM beside this one that can be reached.
+// The first VM other than this one in the key's order of responsibility that can be reached.
 std::shared_ptr<JournalLink> Cluster::linkFor(const std::string& key, std::string& vm) const
 {
     const std::lock_guard lock(m_mutex);
@@ -425,7 +426,7 @@
             refused.insert(item.handle());
     }
     if (!applyTokens(peer, batch, refused)) {
-        logError(LogPart::Journal, "a batch of VM " + peer.vm + " cannot be read; it is not acknowledged.");
+        logError(LogPart::Journal, "the journal batch of VM " + peer.vm + " is malformed; it is not acknowledged.");
         return;
     }
     for (const auto& item : batch.items()) {
@@ -439,7 +440,7 @@
     m_network->send(peer.vm, reply);
 }
 
-// What comes before the tokens of a stream.
+// Applies the parts of an item that precede the stream's tokens.
 JournalResult Cluster::applyItem(const PeerIdentity& peer, std::uint64_t epoch, const wire::JournalItem& item)
 {
     const ViewMember runner { peer.vm, peer.incarnation };
@@ -453,7 +454,7 @@
     if (item.has_open()) {
         auto record = recordOf(peer, item.open());
         const auto key = record.request.key;
-        // This VM may run the key itself, for a caller that came while the two could not reach each other.
+        // This VM may run the key itself, for a caller who came while the two VMs could not reach each other.
         result = m_runsKey(key) ? JournalResult::Refused : m_store.open(epoch, std::move(record));
         const std::lock_guard lock(m_mutex);
         m_incoming[peer.vm].streams[item.handle()] = { key, 0 };
@@ -467,7 +468,7 @@
     return result;
 }
 
-// What comes behind them.
+// Applies the parts of an item that follow the stream's tokens.
 JournalResult Cluster::applyEnd(const PeerIdentity& peer, std::uint64_t epoch, const wire::JournalItem& item)
 {
     const ViewMember runner { peer.vm, peer.incarnation };
@@ -509,8 +510,8 @@
     answer.set_id(envelope.query().id());
     answer.set_is_runner(m_runsKey(key));
     const auto record = m_store.find(key);
-    // A record of the asking VM itself counts if it is from before its restart. In its present life the VM knows best
-    // that it has let go of the key.
+    // A record of the querying VM itself counts if it dates from before that VM's restart. Since its restart, that VM
+    // knows best whether it has released the key.
     const bool isAskersOwn = record && record->runner == ViewMember { peer.vm, peer.incarnation };
     answer.set_is_known(answer.is_runner() || (record && !isAskersOwn));
     answer.set_length(record ? record->tokens.size() : 0);
--- a/src/daemon/Cluster.h
+++ b/src/daemon/Cluster.h
@@ -1,5 +1,5 @@
-// This VM among the others: who is responsible for a key, the journal of its own generations on them, and the records
-// that it holds for them.
+// This VM as a member of the cluster: decides which VM is responsible for a key, replicates the journal of its own
+// generations to other VMs, and holds the records that other VMs replicate to it.
 #pragma once
 
 #include "daemon/JournalLink.h"
@@ -22,8 +22,8 @@
 
 class PeerWatcher;
 
-// Thread-safe. The journal's links and the store guard themselves; the rest is under one lock, which is never held
-// while a source or a callback is called.
+// Thread-safe. The journal links and the store have their own locks. One further lock guards all other members; it is
+// never held while a source or a callback is called.
 class Cluster final : public PeerHandler, public std::enable_shared_from_this<Cluster> {
 public:
     using Decide = std::function<void(const KeyPlacement&)>;
@@ -31,24 +31,25 @@
 
     Cluster(boost::asio::io_context&, const Clock&, const DaemonSettings&, std::uint64_t incarnation);
 
-    // Connects to the peers. The function tells whether this VM itself runs a key. Returns what went wrong, or nothing.
+    // Connects to the peers. The function tells whether this VM itself runs a key. Returns an error message, or nothing
+    // on success.
     std::optional<std::string> start(unsigned short callerPort, RunsKey);
     void stop();
-    // False when there are no peers: then every key is served here and nothing is journaled.
+    // False when there are no peers: this VM then serves every key, and nothing is journaled.
     bool isEnabled() const { return !m_settings.peers.empty(); }
 
-    // Decides where a key is served that this VM does not run. Forwarded requests are not sent on to the VM
-    // responsible, only to the one that runs the key. The answer may come on this stack or later.
+    // Decides which VM serves a key that this VM does not run. A forwarded request is not forwarded again to the
+    // responsible VM, only to the VM that runs the key. The callback may be called before this returns or later.
     void place(const std::string& key, bool isForwarded, Decide);
-    // Takes a record over; nothing when another request has done so already.
+    // Takes a record over. Returns nothing when another request has already taken it over.
     std::optional<ReplicaRecord> takeOver(const std::string& key);
 
-    // Begins, feeds and ends the journal of a generation that this VM runs.
+    // Start, update and end the journal of a generation that this VM runs.
     void attach(const std::shared_ptr<JournalSource>&);
     void changed(const JournalSource&);
     void detach(const JournalSource&);
 
-    // Tells the watcher when the link to a VM is lost; at once when there is none.
+    // Notifies the watcher when the link to a VM is lost, or at once when there is no link.
     void watch(const std::string& vm, const std::shared_ptr<PeerWatcher>&);
 
     void sweep();
@@ -62,7 +63,7 @@
     void peerMessage(const PeerIdentity&, const wire::Envelope&) override;
 
 private:
-    // The question to all other VMs whether they know a key.
+    // A query to all other VMs whether they know a key.
     struct Query {
         std::string key;
         Decide decide;
@@ -101,11 +102,11 @@
     ReplicaStore m_store;
     std::shared_ptr<PeerNetwork> m_network;
     RunsKey m_runsKey;
-    // Stays set, whatever is lost later.
+    // Stays true even when links are lost later.
     std::atomic<bool> m_hasJoined { false };
 
     mutable std::mutex m_mutex;
-    // All that follows is under the lock.
+    // The members below are guarded by the lock.
     struct Link {
         std::uint64_t number { 0 };
         std::shared_ptr<JournalLink> journal;
@@ -113,7 +114,7 @@
     std::map<std::string, Link> m_links;
     std::map<std::string, std::vector<std::weak_ptr<PeerWatcher>>> m_watchers;
     std::unordered_map<const JournalSource*, std::string> m_placed;
-    // What a peer's handles stand for, and the texts that came over its link.
+    // The streams behind a peer's handles, and the token texts received over its link.
     struct Incoming {
         struct Stream {
             std::string key;
--- a/src/daemon/CompletionFormat.cpp
+++ b/src/daemon/CompletionFormat.cpp
@@ -10,7 +10,7 @@
 
 constexpr auto replaceBadText = json::error_handler_t::replace;
 
-// Engines may split a character over two tokens; the parts of it are then replaced, as JSON allows no others.
+// Engines may split a character over two tokens. JSON does not allow the invalid UTF-8 that results, so it is replaced.
 std::string dump(const json& value) { return value.dump(-1, ' ', false, replaceBadText); }
 
 json envelope(const CompletionIdentity& identity, json choice)
--- a/src/daemon/CompletionFormat.h
+++ b/src/daemon/CompletionFormat.h
@@ -1,4 +1,4 @@
-// What callers read of a completion: the events of a stream, or one JSON object.
+// The format of completions sent to callers: the events of a stream, or one JSON object.
 #pragma once
 
 #include "daemon/GenerationSlice.h"
@@ -7,7 +7,7 @@
 
 namespace lupinknot::internal {
 
-// Names the answer in all of its events.
+// Identifies the answer; part of each of its events.
 struct CompletionIdentity {
     std::string generation;
     std::string model;
@@ -18,17 +18,17 @@
     std::size_t completionTokens { 0 };
 };
 
-// One event for each token. The first has the position given; the id of an event is the number of tokens up to and
-// including it, so that a caller who sends it back gets what follows.
+// One event for each token. The first token has the given position. The id of an event is the number of tokens up to
+// and including its own, so that a caller who sends the id back gets the tokens that follow.
 std::string tokenEvents(const CompletionIdentity&, std::size_t position, const std::vector<Token>&);
-// The events that close a complete stream.
+// The events that end the stream of a complete answer.
 std::string finishEvents(const CompletionIdentity&, FinishReason, const CompletionUsage&);
-// The event that closes a stream whose generation was given up.
+// The event that ends the stream of a generation that was given up.
 std::string errorEvent(const JsonError&);
 
 std::string wholeCompletion(const CompletionIdentity&, const std::vector<Token>&, FinishReason, const CompletionUsage&);
 
-// What a caller is told of a generation that was given up.
+// The error that a caller gets for a generation that was given up.
 JsonError refusalOf(const GenerationError&, Milliseconds retryAfter);
 
 } // namespace lupinknot::internal
--- a/src/daemon/CompletionHandler.cpp
+++ b/src/daemon/CompletionHandler.cpp
@@ -71,7 +71,7 @@
     }
     if (admission.verdict == AdmissionVerdict::Created) {
         logWarning(LogPart::Authority,
-            "generation " + admission.generation->id() + " is taken over: the VM that ran it is lost.");
+            "generation " + admission.generation->id() + " is taken over because the VM that ran it is lost.");
         admission.generation->start();
     }
     admit(exchange, request);
@@ -106,7 +106,8 @@
     const bool isNotHeld = admission.verdict == AdmissionVerdict::NotHeld;
     const bool isBeyond = !request.resumeGeneration.empty() && !isNotHeld
         && !admission.generation->holds(request.resumeGeneration, request.resumePosition);
-    // Whatever was sent under another id, or beyond what is held, cannot be continued without splicing two answers.
+    // An answer sent under another id, or beyond the position held here, cannot be continued: the caller would get
+    // parts of two different answers.
     if (isNotHeld || isBeyond)
         return JsonError { 409, "position_not_held",
             "this VM does not hold the answer up to Last-Event-ID; ask without it for the whole answer",
@@ -116,7 +117,8 @@
 
 void CompletionHandler::refuse(HttpExchange& exchange, const JsonError& error)
 {
-    logInfo(LogPart::Caller, "a request is refused with " + std::to_string(error.status) + ": " + error.message + ".");
+    logInfo(LogPart::Caller,
+        "a request is refused with status " + std::to_string(error.status) + ": " + error.message + ".");
     m_context.metrics.countRequest("completion", error.status);
     m_context.metrics.countRefusal(error.outcome);
     exchange.respond(errorResponse(error));
--- a/src/daemon/CompletionHandler.h
+++ b/src/daemon/CompletionHandler.h
@@ -1,4 +1,4 @@
-// Takes callers' requests for completions.
+// Handles callers' requests for completions.
 #pragma once
 
 #include "daemon/GenerationContext.h"
--- a/src/daemon/CompletionReply.cpp
+++ b/src/daemon/CompletionReply.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Bounds the memory of one flush.
+// Limits the memory that one flush needs.
 constexpr std::size_t maxTokensInFlush = 256;
 constexpr unsigned statusOk = 200;
 constexpr auto requestKind = "completion";
@@ -41,7 +41,7 @@
         m_exchange->wake();
         return;
     }
-    // The generation's lock is held here, and advancing reads from the generation.
+    // The caller holds the generation's lock, and advance() reads from the generation.
     if (!m_isAdvancePending.exchange(true))
         boost::asio::post(m_context.ioContext, [self = shared_from_this()] { self->advance(); });
 }
@@ -123,7 +123,8 @@
         return;
     m_isAnswered = true;
     logInfo(LogPart::Caller,
-        "the caller of generation " + m_generation->id() + " has gone at position " + std::to_string(m_position) + ".");
+        "the caller of generation " + m_generation->id() + " disconnected at position " + std::to_string(m_position)
+            + ".");
     m_generation->detach(*this);
 }
 
--- a/src/daemon/CompletionReply.h
+++ b/src/daemon/CompletionReply.h
@@ -1,4 +1,4 @@
-// Gives one caller the answer of a generation: streamed, or whole at its end.
+// Sends a generation's answer to one caller: streamed, or complete at its end.
 #pragma once
 
 #include "daemon/CompletionFormat.h"
@@ -16,13 +16,13 @@
 
 struct CompletionReplyOptions {
     bool wantsStream { false };
-    // Position after which a returning caller goes on.
+    // Number of tokens that a returning caller already has.
     std::size_t position { 0 };
 };
 
-// Thread-safe. The status of the response is chosen when the first token or the end is there, so that a generation that
-// fails before its first token gets a proper refusal. A caller reads from the generation's own tokens by position: a
-// slow one costs no memory of its own and delays nobody.
+// Thread-safe. The response status is chosen when the first token or the end arrives, so that a generation that fails
+// before its first token gets an error status. The reply reads the generation's own tokens by position, so a slow
+// caller needs no buffer and delays no other caller.
 class CompletionReply final : public GenerationWatcher,
                               public HttpBodySource,
                               public std::enable_shared_from_this<CompletionReply> {
@@ -30,12 +30,12 @@
     CompletionReply(std::shared_ptr<HttpExchange>, std::shared_ptr<LiveGeneration>, const GenerationContext&,
         CompletionReplyOptions);
 
-    // Attaches to the generation and answers when there is something to say.
+    // Attaches to the generation, and responds once there is a token or an end.
     void start();
 
-    // GenerationWatcher; under the generation's lock.
+    // GenerationWatcher. Called under the generation's lock.
     void progressed() override;
-    // HttpBodySource; on the connection's thread.
+    // HttpBodySource. Called on the connection's thread.
     HttpBodyPiece next() override;
 
 private:
@@ -55,7 +55,7 @@
     std::atomic<bool> m_isStreaming { false };
     std::atomic<bool> m_isAdvancePending { false };
     std::mutex m_mutex;
-    // Both under the lock.
+    // Both members below are guarded by the lock.
     std::size_t m_position;
     bool m_isAnswered { false };
 };
--- a/src/daemon/CompletionRequest.cpp
+++ b/src/daemon/CompletionRequest.cpp
@@ -251,8 +251,8 @@
     BOOST_LEAF_ASSIGN(request.seed, parseSeed(body));
     request.body = message.body;
     request.sampling = samplingOf(body);
-    // Of the parsed body, so that spaces and the order of fields make no difference. Whether the answer is streamed is
-    // left out: a caller may come back in the other way.
+    // Hashes the parsed body, so that white space and the order of fields make no difference. Whether the answer is
+    // streamed is left out, because a caller may return with the other choice.
     body.erase("stream");
     const auto canonical = body.dump();
     request.bodyHash = XXH3_64bits(canonical.data(), canonical.size());
--- a/src/daemon/CompletionRequest.h
+++ b/src/daemon/CompletionRequest.h
@@ -1,4 +1,4 @@
-// A caller's request for a completion, checked.
+// A caller's request for a completion, after validation.
 #pragma once
 
 #include "http/JsonError.h"
@@ -13,16 +13,17 @@
 
 struct HttpRequest;
 
-// The prompt as the caller gave it: text, or ids of tokens.
+// The prompt as the caller sent it: text or token ids.
 using Prompt = std::variant<std::string, std::vector<TokenId>>;
 
 struct CompletionRequest {
     std::string organisation;
-    // As it came; another VM reads it again.
+    // Unchanged, because a VM that takes the request over parses it again.
     std::string body;
-    // Empty when the caller gave none.
+    // Empty when the caller sent none.
     std::string idempotencyKey;
-    // Of everything in the body; the same key with another body is a mistake of the caller.
+    // Hash of the whole body except whether the answer is streamed. The same key with another body is an error of the
+    // caller.
     std::uint64_t bodyHash { 0 };
     std::string model;
     Prompt prompt;
@@ -30,22 +31,22 @@
     bool wantsStream { false };
     bool repeatable { true };
     Milliseconds timeLimit { 0 };
-    // Position after which a returning caller goes on; 0 for the whole answer.
+    // Number of tokens that a returning caller already has; 0 for the complete answer.
     std::size_t resumePosition { 0 };
-    // The generation that the caller names together with the position; empty when there is none.
+    // The generation that the caller sent with the position; empty when there is none.
     std::string resumeGeneration;
-    // Sampling fields, as JSON text, that pass to the engine as they came.
+    // Sampling fields as JSON text, passed to the engine unchanged.
     std::string sampling;
     std::optional<std::int64_t> seed;
 };
 
-// What a request may ask for.
+// Limits on the fields of a request.
 struct CompletionLimits {
     std::int64_t maxTokens;
     Milliseconds defaultTimeLimit;
 };
 
-// Reports a JsonError, which names the field at fault, through Boost.LEAF.
+// Errors are reported through Boost.LEAF as a JsonError that names the invalid field.
 boost::leaf::result<CompletionRequest> parseCompletionRequest(const HttpRequest&, const CompletionLimits&);
 
 } // namespace lupinknot::internal
--- a/src/daemon/Daemon.cpp
+++ b/src/daemon/Daemon.cpp
@@ -70,13 +70,13 @@
 
 Daemon::~Daemon()
 {
-    // The threads first: what the others hear of the end must find nobody here who acts on it.
+    // The threads end first, so that no thread here acts on the notifications that stopping the other parts causes.
     m_ioContext.stop();
     for (auto& thread : m_threads)
         thread.join();
     m_platform->stop();
     m_cluster->stop();
-    // The listeners of calls use everything above; none is called after this.
+    // The call listeners use all members above; none of them is called after this.
     m_calls->cancelAndWait();
 }
 
@@ -96,7 +96,7 @@
     scheduleSweep();
     logInfo(LogPart::Daemon,
         "VM " + m_settings.vm.name + " in zone " + m_settings.vm.zone + " listens on port " + std::to_string(port())
-            + ", for operators on port " + std::to_string(adminPort()) + ".");
+            + ", with the operators' interface on port " + std::to_string(adminPort()) + ".");
     return std::nullopt;
 }
 
@@ -115,7 +115,7 @@
 
 void Daemon::stop()
 {
-    logInfo(LogPart::Daemon, "a planned stop begins: not ready from now on.");
+    logInfo(LogPart::Daemon, "stopping: this VM now reports that it is not ready.");
     m_adminHandler->setReady(false);
     std::this_thread::sleep_for(m_settings.vm.stopNotice);
     m_isStopping = true;
@@ -170,7 +170,8 @@
     while (m_listener->busyCount() || m_registry->runningCount()) {
         if (m_clock->now() >= end) {
             logWarning(LogPart::Daemon,
-                std::to_string(m_listener->busyCount()) + " requests are cut off: the time for the stop is over.");
+                std::to_string(m_listener->busyCount())
+                    + " requests are aborted because the time allowed for the stop is over.");
             return;
         }
         std::this_thread::sleep_for(progressPollInterval);
--- a/src/daemon/Daemon.h
+++ b/src/daemon/Daemon.h
@@ -1,4 +1,4 @@
-// One entry VM's daemon, put together.
+// The daemon of one entry VM with all its parts.
 //
 //     Daemon daemon(settings);
 //     auto problem = daemon.start();
@@ -37,7 +37,8 @@
 class ServiceHandler;
 struct GenerationContext;
 
-// start() and stop() are called from one thread; requestStop() from any, also from a signal's handler thread.
+// start() and stop() must be called from the same thread; requestStop() may be called from any thread, including the
+// one that handles signals.
 class Daemon {
 public:
     explicit Daemon(DaemonSettings);
@@ -45,12 +46,13 @@
     Daemon(const Daemon&) = delete;
     Daemon& operator=(const Daemon&) = delete;
 
-    // Binds the listeners and starts the threads. Returns what went wrong, or nothing.
+    // Binds the listeners and starts the threads. Returns an error message, or nothing on success.
     std::optional<std::string> start();
-    // Waits until someone asks for a stop.
+    // Waits until requestStop() is called.
     void waitForStopRequest();
     void requestStop();
-    // The planned stop: reports not ready, then accepts no more, then waits for the requests in progress.
+    // Stops in an orderly way: reports not ready, then accepts no new requests, then waits for the requests in
+    // progress.
     void stop();
 
     unsigned short port() const;
@@ -62,7 +64,7 @@
     void waitForRequestsInProgress();
 
     const DaemonSettings m_settings;
-    // Drawn at each start; VMs keep nothing, so it tells a restarted VM from the old one.
+    // Random for each start. VMs store nothing on disk, so this distinguishes a restarted VM from its previous process.
     const std::uint64_t m_incarnation;
     std::unique_ptr<Clock> m_clock;
     boost::asio::io_context m_ioContext;
--- a/src/daemon/EndpointState.cpp
+++ b/src/daemon/EndpointState.cpp
@@ -26,7 +26,7 @@
         m_nextEjection = m_ejection.initial;
         return;
     }
-    // The streams of one dead endpoint fail together; only the first failure of a time of ejection counts.
+    // All streams of a dead endpoint fail together, so only the first failure within an ejection counts.
     if (!traitsOf(*failure).blamesEndpoint || now < m_ejectedUntil)
         return;
     m_ejectedUntil = now + m_nextEjection;
--- a/src/daemon/EndpointState.h
+++ b/src/daemon/EndpointState.h
@@ -1,4 +1,4 @@
-// What this VM knows of one endpoint.
+// What this VM knows about one endpoint: its listing, its requests in flight and its ejection.
 #pragma once
 
 #include "lupinknot/EndpointPulse.h"
@@ -9,8 +9,8 @@
 
 namespace lupinknot::internal {
 
-// What the platform's list says. The list lags, so it decides about leaving only; whether an endpoint can be reached
-// shows in the calls to it.
+// The state of an endpoint in the platform's list. The list is late, so it only decides whether an endpoint is shutting
+// down; the calls to an endpoint show whether it can be reached.
 enum class EndpointListing {
     Live,
     Leaving,
@@ -23,7 +23,7 @@
     { EndpointListing::Gone, "gone" },
 } };
 
-// Thread-safe: counters are atomic, the ejection has a lock of its own.
+// Thread-safe: the counters are atomic, and the ejection has its own lock.
 class EndpointState {
 public:
     EndpointState(EndpointSettings, const PulseSettings&, const EjectionSettings&);
@@ -36,15 +36,16 @@
     void workEnded(std::optional<FailureKind>, Milliseconds now);
     int inFlight() const { return m_inFlight; }
 
-    // The endpoint has answered: an ejection ends.
+    // Records that the endpoint has answered, which ends an ejection.
     void noteAlive();
 
-    // True when the endpoint may get new work: it is not leaving and not ejected.
+    // True when the endpoint may get new work: it is neither shutting down nor ejected.
     bool isEligible(Milliseconds now) const;
-    // Takes the one request that an ejected endpoint may get before its time, to see whether it is back. Returns false
-    // when such a request is under way, or the endpoint is leaving. The caller must start the work.
+    // Reserves the probe, the one request that an ejected endpoint may get before its ejection ends, to find out
+    // whether it works again. Returns false when a probe is in progress, the endpoint is shutting down, or it is not
+    // ejected. The caller must call workStarted().
     bool takeProbe(Milliseconds now);
-    // How long the endpoint is still ejected; zero or less when it is not.
+    // Time left of the ejection; zero or less when the endpoint is not ejected.
     Milliseconds ejectedFor(Milliseconds now) const;
 
     EndpointListing listing() const { return m_listing; }
@@ -57,7 +58,7 @@
     std::atomic<int> m_inFlight { 0 };
     std::atomic<EndpointListing> m_listing { EndpointListing::Live };
     mutable std::mutex m_mutex;
-    // All under the lock.
+    // The members below are guarded by the lock.
     Milliseconds m_ejectedUntil { 0 };
     Milliseconds m_nextEjection;
     bool m_isProbed { false };
--- a/src/daemon/EndpointTable.h
+++ b/src/daemon/EndpointTable.h
@@ -1,4 +1,4 @@
-// The endpoints that this VM routes to, and the choice among them.
+// The endpoints that this VM routes requests to, and the choice among them.
 #pragma once
 
 #include "daemon/EndpointState.h"
@@ -6,9 +6,9 @@
 
 namespace lupinknot::internal {
 
-// What an endpoint is wanted for.
+// The request that needs an endpoint.
 struct RouteQuery {
-    // For the log: which request, and which try.
+    // The request and its attempt, for the log.
     std::string subject;
     std::vector<std::string> avoid;
 };
@@ -18,22 +18,23 @@
     EndpointListing listing;
 };
 
-// Thread-safe: the set of endpoints never changes after construction, and each endpoint guards its own state.
+// Thread-safe: the set of endpoints never changes after construction, and each endpoint synchronises its own state.
 class EndpointTable {
 public:
     EndpointTable(const DaemonSettings&, const Clock&);
 
     bool knowsModel(const std::string& model) const { return m_byModel.count(model); }
-    // Both choose the eligible endpoint with the fewest requests in flight, in the own availability zone if there is
-    // one; an endpoint to avoid is chosen only when there is no other. When none is eligible, an ejected one that is
-    // not to be avoided is probed. Nothing when that is not possible either. The caller must start the work.
+    // Both choose the eligible endpoint with the fewest requests in flight, from this VM's availability zone if it has
+    // one there. An endpoint to avoid is chosen only when there is no other. When no endpoint is eligible, an ejected
+    // endpoint that is not to be avoided gets a probe. Both return nothing when that is impossible too. The caller must
+    // call workStarted() on the endpoint.
     std::shared_ptr<EndpointState> chooseForModel(const std::string& model, const RouteQuery&) const;
     std::shared_ptr<EndpointState> chooseAmong(const std::vector<std::string>& names, const RouteQuery&) const;
 
     std::shared_ptr<EndpointState> find(const std::string& name) const;
     const std::vector<std::shared_ptr<EndpointState>>& endpoints() const { return m_endpoints; }
     bool isEligible(const EndpointState& endpoint) const { return endpoint.isEligible(m_clock.now()); }
-    // Takes over what the platform's list says. Endpoints that it does not name stay as they are.
+    // Applies the platform's list. Endpoints that it does not name keep their state.
     void applyListing(const std::vector<EndpointListingEntry>&);
 
 private:
--- a/src/daemon/EngineAttempt.cpp
+++ b/src/daemon/EngineAttempt.cpp
@@ -100,7 +100,7 @@
     if (m_isOver)
         return;
     m_isOver = true;
-    // Ignored when the generation has finished or another attempt is the current one.
+    // The generation ignores this when it has finished or another attempt is the current one.
     m_generation->attemptFailed(m_number, failure);
 }
 
--- a/src/daemon/EngineAttempt.h
+++ b/src/daemon/EngineAttempt.h
@@ -1,4 +1,4 @@
-// One attempt's call to its engine: sends the request, reads the events, reports to the generation.
+// The call of one attempt to its engine: sends the request, parses the events and reports them to the generation.
 #pragma once
 
 #include "daemon/EngineProtocol.h"
@@ -15,16 +15,18 @@
 class HttpCallGroup;
 class LiveGeneration;
 
-// The call's threads come one at a time; cancel() may come from any. Keeps the generation alive until the call ends.
+// The call invokes its listener from one thread at a time; cancel() may be called from any thread. The attempt keeps
+// the generation alive until the call ends.
 class EngineAttempt final : public HttpCallListener, public std::enable_shared_from_this<EngineAttempt> {
 public:
-    // The stream's first token has a position of its own in the answer, before the order's where the attempt attaches.
+    // The stream position is the position in the answer of the stream's first token. It precedes the order's position
+    // when the attempt attaches to a running stream.
     EngineAttempt(std::shared_ptr<LiveGeneration>, const AttemptOrder&, std::size_t streamPosition);
 
     void start(HttpCallGroup&, const SocketAddress&, const HttpRequest&, Milliseconds timeout);
-    // Closes the connection, by which the engine stops its work.
+    // Closes the connection, which makes the engine stop its work.
     void cancel();
-    // The engine has ended the stream itself.
+    // True when the engine has ended the stream itself.
     bool isFinished() const { return m_isFinished; }
 
     void headArrived(unsigned status, const HttpHeaders&) override;
@@ -41,7 +43,7 @@
     const std::size_t m_firstPosition;
     std::size_t m_nextPosition;
     SseParser m_parser;
-    // Failed, finished or refused: what still comes is not looked at.
+    // Set when the attempt has failed, finished or been refused; later events are ignored.
     bool m_isOver { false };
     std::atomic<bool> m_isFinished { false };
     const bool m_attaches;
--- a/src/daemon/EngineProtocol.cpp
+++ b/src/daemon/EngineProtocol.cpp
@@ -26,7 +26,7 @@
     return ids;
 }
 
-// The text of an event belongs to its tokens together; it is kept with the last of them.
+// The text of an event belongs to all of its tokens; it is stored with the last one.
 std::vector<Token> tokensOf(const std::vector<TokenId>& ids, const std::string& text)
 {
     std::vector<Token> tokens;
@@ -82,7 +82,8 @@
         std::visit([&body](const auto& prompt) { body["prompt"] = prompt; }, request.prompt);
     }
     body["max_tokens"] = request.limits.maxTokens - generated;
-    // A seed fixes the draws from the first token on; a resumed attempt must not draw the first ones again.
+    // A seed fixes the random draws from the first token on. A resumed attempt must not repeat the draws of the tokens
+    // that it already has, so it gets another seed.
     if (request.seed)
         body["seed"] = *request.seed + static_cast<std::int64_t>(generated);
 
--- a/src/daemon/EngineProtocol.h
+++ b/src/daemon/EngineProtocol.h
@@ -1,7 +1,7 @@
-// The model engines' published protocol: `POST /v1/completions`, streamed, with token ids.
+// The published protocol of the model engines: a streamed `POST /v1/completions` with token ids.
 //
-// An attempt asks for `return_token_ids`, so that the first event brings the ids of the prompt and each event the ids
-// of its tokens. A resumed attempt sends ids only: those of the prompt and of the tokens so far.
+// An attempt sets `return_token_ids`, so that the first event has the token ids of the prompt and each event those of
+// its tokens. A resumed attempt sends token ids only: those of the prompt and of the tokens generated so far.
 #pragma once
 
 #include "daemon/CompletionRequest.h"
@@ -11,15 +11,15 @@
 
 namespace lupinknot::internal {
 
-// What one event of an engine's stream says.
+// The content of one event of an engine's stream.
 struct EngineEvent {
-    // Ids of the prompt; only the first event has them.
+    // Token ids of the prompt; only in the first event.
     std::vector<TokenId> promptIds;
     std::vector<Token> tokens;
-    // The position of the first token within this attempt, where the engine gives one.
+    // The position of the first token within this attempt, if the engine sends one.
     std::optional<std::size_t> position;
     std::optional<FinishReason> finishReason;
-    // The stream's closing marker.
+    // True for the marker that ends the stream.
     bool isDone { false };
 };
 
@@ -30,14 +30,14 @@
 
 struct EngineStreamName {
     std::string id;
-    // How long the engine runs on when the connection is lost, for another VM to attach to.
+    // How long the engine continues after the connection is lost, so that another VM can attach to the stream.
     Milliseconds keepOnDisconnect { 0 };
 };
 
-// Makes the request of one attempt. Without a prefix the prompt goes as the caller gave it.
+// Makes the request of one attempt. Without a prefix, the prompt is sent as the caller sent it.
 HttpRequest engineRequest(const CompletionRequest&, const EngineStreamName&, const std::optional<EnginePrefix>&);
 
-// Reads the data of one event; nothing when it is malformed.
+// Parses the data of one event. Returns nothing when it is malformed.
 std::optional<EngineEvent> parseEngineEvent(const std::string& data);
 
 } // namespace lupinknot::internal
--- a/src/daemon/ForwardedRequest.cpp
+++ b/src/daemon/ForwardedRequest.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// The other VM keeps the deadline; this is a guard.
+// The other VM enforces the deadline; this timeout is a safeguard.
 constexpr Milliseconds callTimeout { 86400000 };
 
 } // namespace
@@ -40,7 +40,7 @@
     outgoing.headers.add(hopsHeader, std::to_string(hops));
     {
         const std::lock_guard lock(m_mutex);
-        // A caller can be gone before the call begins.
+        // The caller can disconnect before the call starts.
         if (m_isCallerGone)
             return;
         m_call = m_context.calls.start(address, outgoing, callTimeout, shared_from_this());
@@ -81,8 +81,7 @@
 {
     const std::lock_guard lock(m_mutex);
     logWarning(LogPart::Caller,
-        "a request passed on to VM " + m_vm + " broke off: " + std::string(nameIn(httpCallFailureNames, failure))
-            + ".");
+        "a request forwarded to VM " + m_vm + " failed: " + std::string(nameIn(httpCallFailureNames, failure)) + ".");
     if (m_isStream) {
         m_exchange->abort();
         return;
@@ -113,7 +112,7 @@
     cancelCall();
 }
 
-// Not on this stack: cancelling may run callbacks of the call, and those take the lock.
+// Posted, because cancelling may run callbacks of the call that take the lock.
 void ForwardedRequest::cancelCall()
 {
     if (m_call)
--- a/src/daemon/ForwardedRequest.h
+++ b/src/daemon/ForwardedRequest.h
@@ -1,4 +1,4 @@
-// Passes a caller's request on to the VM that is responsible for its key, and the answer back, as it comes.
+// Forwards a caller's request to the VM that is responsible for its key, and streams the response back as it arrives.
 #pragma once
 
 #include "daemon/GenerationContext.h"
@@ -16,21 +16,20 @@
 class HttpCall;
 class HttpExchange;
 
-// Thread-safe, under one lock of its own. When the other VM is lost in the middle of its answer, the caller's
-// connection is closed too: the caller comes back with its key and position, as it would have done had it asked the
-// other VM itself.
+// Thread-safe, with one lock of its own. When the other VM is lost during its response, the caller's connection is
+// closed too: the caller then returns with its key and position, as it would after a direct request to the other VM.
 class ForwardedRequest final : public HttpCallListener,
                                public HttpBodySource,
                                public PeerWatcher,
                                public std::enable_shared_from_this<ForwardedRequest> {
 public:
-    // Carried by forwarded requests; its value counts how often the request was passed on.
+    // Header of forwarded requests; its value is the number of times the request was forwarded.
     static constexpr auto hopsHeader = "Lupinknot-Forwarded";
 
     ForwardedRequest(const GenerationContext&, std::shared_ptr<HttpExchange>, std::string vm);
 
-    // Sets what to call instead of a refusal when the other VM is lost before it answers. Placing the request anew is
-    // what the caller would do.
+    // Sets the callback that is called instead of an error response when the other VM is lost before it responds. The
+    // callback places the request again, as the caller itself would do.
     void onLost(std::function<void()> callback) { m_onLost = std::move(callback); }
     void start(const SocketAddress&, unsigned hops);
 
@@ -41,7 +40,7 @@
 
     HttpBodyPiece next() override;
 
-    // The other VM is dead, cut off or standing still; its connection may say nothing of that for long.
+    // The other VM is dead, cut off or paused; its connection may stay open and silent for a long time.
     void peerLost() override;
 
 private:
@@ -53,9 +52,9 @@
     const std::string m_vm;
     std::function<void()> m_onLost;
     std::mutex m_mutex;
-    // All that follows is under the lock.
+    // The members below are guarded by the lock.
     std::shared_ptr<HttpCall> m_call;
-    // Of an answer that is not streamed; it is passed on when it is whole.
+    // The response, if it is not streamed; it is passed on when it is complete.
     HttpResponse m_response;
     bool m_isStream { false };
     std::string m_bytes;
--- a/src/daemon/GenerationContext.h
+++ b/src/daemon/GenerationContext.h
@@ -1,4 +1,4 @@
-// What all generations of a process share.
+// The objects that all generations of a process share.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,7 +15,7 @@
 class Metrics;
 struct DaemonSettings;
 
-// Everything outlives the generations.
+// All referenced objects outlive the generations.
 struct GenerationContext {
     boost::asio::io_context& ioContext;
     const Clock& clock;
--- a/src/daemon/GenerationRegistry.cpp
+++ b/src/daemon/GenerationRegistry.cpp
@@ -14,7 +14,8 @@
 
 namespace leaf = boost::leaf;
 
-// Reads a journaled request again. It was good when it came, so it can only fail when this VM's limits are tighter.
+// Parses a journaled request again. It was valid on the VM that received it, so it fails here only when this VM's
+// limits are stricter.
 std::optional<CompletionRequest> requestOf(const JournaledRequest& journaled, const GenerationSettings& settings)
 {
     HttpRequest message { "POST", "/v1/completions", {}, journaled.body };
@@ -47,7 +48,7 @@
 Admission GenerationRegistry::admit(const CompletionRequest& request)
 {
     const auto id = newId();
-    // A request without a key is held under its id, where nobody but operators can find it.
+    // A request without a key is stored under its id, where only operators can find it.
     const auto key = request.idempotencyKey.empty()
         ? id
         : JournaledRequest::scopedKey(request.organisation, request.idempotencyKey);
--- a/src/daemon/GenerationRegistry.h
+++ b/src/daemon/GenerationRegistry.h
@@ -1,4 +1,4 @@
-// Finds the generation of a key, and keeps ended answers for callers who come back.
+// Finds the generation of a key, and keeps completed answers for callers who return.
 #pragma once
 
 #include "daemon/GenerationContext.h"
@@ -18,12 +18,12 @@
 struct CompletionRequest;
 
 enum class AdmissionVerdict {
-    Created, // A new generation; the caller of admit() starts it.
+    Created, // A new generation; the caller of admit() must start it.
     Found, // The key's generation.
-    KeyConflict, // The key belongs to another body.
-    Gone, // The record that was to be taken over is no longer there.
-    NotHeld, // The caller wants to go on with an answer that is not held here.
-    Full, // As many generations are held as the settings allow.
+    KeyConflict, // The key was used with another body.
+    Gone, // The record to take over no longer exists.
+    NotHeld, // The caller wants to continue an answer that is not held here.
+    Full, // The limit of held generations in the settings is reached.
 };
 
 struct Admission {
@@ -31,29 +31,30 @@
     std::shared_ptr<LiveGeneration> generation;
 };
 
-// Thread-safe: generations are spread over shards by their key, each shard under its own lock.
+// Thread-safe: generations are distributed over shards by their key, and each shard has its own lock.
 class GenerationRegistry {
 public:
-    // The prefix makes ids unique over VMs and their restarts.
+    // The prefix makes ids unique across VMs and their restarts.
     GenerationRegistry(const GenerationContext&, std::string idPrefix);
 
     ~GenerationRegistry();
     GenerationRegistry(const GenerationRegistry&) = delete;
     GenerationRegistry& operator=(const GenerationRegistry&) = delete;
 
-    // Finds the generation of the request's key or makes a new one. Two requests with one key never make two.
+    // Finds the generation of the request's key or creates one. Two requests with the same key never create two.
     Admission admit(const CompletionRequest&);
-    // The generation of a key; nothing when this VM does not run it, or no longer.
+    // The generation of a key; nothing when this VM does not run it or no longer holds it.
     std::shared_ptr<LiveGeneration> findByKey(const std::string& key);
-    // Takes up a generation that another VM ran. Asks for the record only if the key is not here, so that of two
-    // requests one takes it over and the other finds it. Nothing when the record is gone or cannot be read.
+    // Continues a generation that another VM ran. Calls the function for the record only if the key is not here, so
+    // that of two requests one takes the record over and the other finds the generation. The verdict is Gone when the
+    // record no longer exists or cannot be parsed.
     using TakeRecord = std::function<std::optional<ReplicaRecord>()>;
     Admission adopt(const std::string& key, const TakeRecord&);
     std::shared_ptr<LiveGeneration> findById(const std::string& id) const;
-    // Lets go of generations that have ended and whose time of retention is over.
+    // Removes generations that have ended and whose retention time is over.
     void sweep();
     std::size_t heldCount() const { return m_heldCount; }
-    // Generations that have not ended.
+    // Number of generations that have not ended.
     std::size_t runningCount() const;
 
 private:
--- a/src/daemon/GenerationSlice.h
+++ b/src/daemon/GenerationSlice.h
@@ -1,4 +1,4 @@
-// A part of an answer, as read by one caller.
+// A part of an answer, as one caller reads it.
 #pragma once
 
 #include "lupinknot/FinishReason.h"
@@ -11,9 +11,9 @@
 
 struct GenerationSlice {
     std::vector<Token> tokens;
-    // Set when no token follows the slice and the answer is complete.
+    // Set when the slice reaches the end of a complete answer.
     std::optional<FinishReason> finishReason;
-    // Set when no token follows the slice and the generation was given up.
+    // Set when the slice reaches the end of a generation that was given up.
     std::optional<GenerationError> error;
 };
 
--- a/src/daemon/GenerationWatcher.h
+++ b/src/daemon/GenerationWatcher.h
@@ -1,9 +1,9 @@
-// Hears that a generation has something new.
+// Notified when a generation has new tokens or has ended.
 #pragma once
 
 namespace lupinknot::internal {
 
-// Called under the generation's lock, from any thread: an implementation only takes note and returns.
+// Called under the generation's lock, from any thread. An implementation must only record the notification and return.
 class GenerationWatcher {
 public:
     virtual ~GenerationWatcher() = default;
--- a/src/daemon/JournalLink.cpp
+++ b/src/daemon/JournalLink.cpp
@@ -101,7 +101,7 @@
     auto& batch = *envelope.mutable_journal();
     batch.set_epoch(m_epoch);
     auto pending = takeDirty(batch);
-    // The generations are asked without the journal's lock, which they take under their own.
+    // Sources are called without the journal's lock, because generations call the journal under their own lock.
     for (auto& stream : pending) {
         auto& item = *batch.add_items();
         item.set_handle(stream.handle);
@@ -129,7 +129,7 @@
 std::vector<JournalLink::Pending> JournalLink::takeDirty(wire::JournalBatch& batch)
 {
     const std::lock_guard lock(m_mutex);
-    // A key that is dropped may be opened anew in the same batch, so the drops go first.
+    // A dropped key may be opened again in the same batch, so the drops are applied first.
     for (const auto handle : m_dropped) {
         auto& item = *batch.add_items();
         item.set_handle(handle);
--- a/src/daemon/JournalLink.h
+++ b/src/daemon/JournalLink.h
@@ -1,7 +1,8 @@
-// The journal of this VM's generations on one other VM.
+// Sends the journal of this VM's generations to one other VM.
 //
-// Changes are gathered while a batch is on its way and go out together when it is acknowledged; with nothing on its way
-// they go out after the flush interval. So the cost follows the number of flushes and not the number of streams.
+// Changes are collected while a batch is in flight and are sent together when it is acknowledged; with no batch in
+// flight they are sent after the flush interval. The cost therefore depends on the number of flushes and not on the
+// number of streams.
 #pragma once
 
 #include "daemon/JournalSource.h"
@@ -22,7 +23,7 @@
 
 namespace lupinknot::internal {
 
-// Thread-safe, under one lock; sources are called without it.
+// Thread-safe, with one lock; sources are called without it.
 class JournalLink : public std::enable_shared_from_this<JournalLink> {
 public:
     using Send = std::function<void(const wire::Envelope&)>;
@@ -31,10 +32,10 @@
 
     void add(const std::shared_ptr<JournalSource>&);
     void changed(const JournalSource*);
-    // The replica may forget the generation.
+    // Tells the replica that it may remove the generation.
     void remove(const JournalSource*);
     void acknowledged(const wire::JournalAck&);
-    // Ends the link; returns the sources that need another one.
+    // Ends the link. Returns the sources that need another link.
     std::vector<std::shared_ptr<JournalSource>> close();
 
 private:
@@ -54,21 +55,21 @@
 
     void scheduleFlush();
     void flush();
-    // Adds the drops to the batch, and returns the streams that have news.
+    // Adds the dropped streams to the batch, and returns the streams that have changed.
     std::vector<Pending> takeDirty(wire::JournalBatch&);
 
     const std::uint64_t m_epoch;
     const Milliseconds m_flushInterval;
     const Send m_send;
-    // Touched by the flush alone, of which there is one at a time.
+    // Used only by flush(), which never runs twice at the same time.
     TokenTexts m_texts;
     std::mutex m_mutex;
-    // All that follows is under the lock.
+    // The members below are guarded by the lock.
     boost::asio::steady_timer m_timer;
     std::unordered_map<const JournalSource*, Stream> m_streams;
     std::vector<const JournalSource*> m_dirty;
     std::vector<std::uint32_t> m_dropped;
-    // What the batch on its way carries; empty when there is none.
+    // The contents of the batch in flight; empty when there is none.
     std::vector<Pending> m_outstanding;
     std::uint64_t m_lastBatch { 0 };
     std::uint32_t m_lastHandle { 0 };
--- a/src/daemon/JournalSource.h
+++ b/src/daemon/JournalSource.h
@@ -1,4 +1,4 @@
-// A generation as its journal sees it.
+// The interface of a generation or service call towards its journal.
 #pragma once
 
 #include "lupinknot/Generation.h"
@@ -18,13 +18,13 @@
     bool isEnded { false };
 };
 
-// Thread-safe; called without any lock of the journal's.
+// Thread-safe. The journal calls these functions without holding any of its locks.
 class JournalSource {
 public:
     virtual ~JournalSource() = default;
     virtual const std::string& journalKey() const = 0;
-    // Adds what lies beyond the cursor to the item, tokens to the list, and moves the cursor. Returns false when the
-    // item has nothing.
+    // Adds everything beyond the cursor to the item and the list of tokens, and moves the cursor. Returns false when
+    // there is nothing to add.
     virtual bool fillJournal(JournalCursor&, wire::JournalItem&, std::vector<Token>&) const = 0;
     // A replica holds everything up to the cursor.
     virtual void journalAcknowledged(const JournalCursor&) = 0;
--- a/src/daemon/JournalTokens.cpp
+++ b/src/daemon/JournalTokens.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// In the column of lengths: the text is the one that the id had last. Other values are the length plus one.
+// Value in the column of lengths for an unchanged text of the id. Any other value is the length plus one.
 constexpr std::uint32_t knownText = 0;
 
 } // namespace
--- a/src/daemon/JournalTokens.h
+++ b/src/daemon/JournalTokens.h
@@ -1,7 +1,7 @@
-// Tokens of many generations in one batch, in columns.
+// Encodes the tokens of many generations in one batch, in columns.
 //
-// A token costs its id and, unless the same text went over the link with the same id before, its text. The engines'
-// texts mostly depend on the id alone, but not always, so the text is compared and never assumed.
+// A token is sent as its id, with its text unless the last text sent over the link for this id was the same. The text
+// usually depends on the id alone, but not always, so it is compared each time.
 #pragma once
 
 #include "lupinknot/Token.h"
@@ -15,18 +15,18 @@
 
 namespace lupinknot::internal {
 
-// The texts that went over one link. Both ends keep one and change it in the same order. Not thread-safe.
+// The token texts sent over one link. Both ends keep a table and update it in the same order. Not thread-safe.
 class TokenTexts {
 public:
-    // Returns true when this is the text that the id had last.
+    // Returns true when this is the last text of the token's id.
     bool isKnown(const Token&) const;
-    // Notes a text; new ids are no longer noted when the table is full.
+    // Stores a text. Ids that are not in the table are ignored when it is full.
     void note(const Token&);
-    // The text that an id had last; empty when there is none.
+    // The last text of an id; empty when there is none.
     std::string textOf(TokenId) const;
 
 private:
-    // About 4 MB at an entry of 64 bytes.
+    // About 4 MB with entries of 64 bytes.
     static constexpr std::size_t maxEntries = 65536;
 
     std::unordered_map<TokenId, std::string> m_texts;
@@ -35,7 +35,7 @@
 // Adds tokens of one stream to a batch.
 void addTokens(wire::JournalBatch&, TokenTexts&, std::uint32_t handle, const Token* first, std::size_t count);
 
-// Calls back for each stream's tokens in a batch. Returns false when the columns do not fit together.
+// Calls the function with each stream's tokens in a batch. Returns false when the columns are inconsistent.
 using TakeTokens = std::function<void(std::uint32_t handle, std::vector<Token>)>;
 bool readTokens(const wire::JournalBatch&, TokenTexts&, const TakeTokens&);
 
--- a/src/daemon/KeyPlacement.cpp
+++ b/src/daemon/KeyPlacement.cpp
@@ -7,7 +7,7 @@
     const bool isRunnerUp = runner && runner->incarnation == record.runner.incarnation;
     if (isRunnerUp)
         return { KeyPlacement::Kind::Forward, *runner, std::nullopt };
-    // A runner that was restarted has forgotten its work, so it cannot be running it.
+    // A restarted VM has lost its work, so it cannot still run it.
     const bool isRunnerGone = runner.has_value();
     const bool mayTakeOver = record.request.repeatable || isRunnerGone || record.finishReason;
     if (!mayTakeOver)
--- a/src/daemon/KeyPlacement.h
+++ b/src/daemon/KeyPlacement.h
@@ -1,4 +1,4 @@
-// Where a request with a key is to be served, and the decision by the record that this VM holds of it.
+// The VM that serves a request with a key, and the decision from the record that this VM holds for the key.
 #pragma once
 
 #include "lupinknot/ReplicaRecord.h"
@@ -10,16 +10,16 @@
 struct KeyPlacement {
     enum class Kind {
         Here, // This VM is responsible, or holds the generation.
-        Forward, // Another VM is.
-        TakeOver, // The VM that ran the generation is lost, and its record is here.
-        Refuse, // The VM that ran it is lost, but it may still be running, and the request must not be repeated.
+        Forward, // Another VM is responsible or holds it.
+        TakeOver, // The VM that ran the generation is lost; its record is here.
+        Refuse, // The VM that ran it cannot be reached but may still run it, and the request must not be repeated.
     };
     Kind kind { Kind::Here };
     PeerIdentity target;
     std::optional<ReplicaRecord> record;
 };
 
-// The runner is the VM that the record names, as it can be reached now; nothing when it cannot.
+// The runner is the VM that the record names, if it can be reached now; otherwise nothing.
 KeyPlacement placeByRecord(ReplicaRecord, const std::optional<PeerIdentity>& runner);
 
 } // namespace lupinknot::internal
--- a/src/daemon/KeyedRequestRouter.cpp
+++ b/src/daemon/KeyedRequestRouter.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-// A request goes to the VM responsible and from there to the one that runs it.
+// A request is forwarded to the responsible VM, and from there to the VM that runs it.
 constexpr unsigned maxHops = 3;
-// How often, and how soon, a request is placed anew when the VM that it went to is lost.
+// Number and interval of the attempts to place a request again when the VM that it was forwarded to is lost.
 constexpr unsigned maxTries = 200;
 constexpr Milliseconds retryInterval { 10 };
 
@@ -75,9 +75,9 @@
 void KeyedRequestRouter::forward(const std::shared_ptr<HttpExchange>& exchange, const std::string& key,
     const KeyedRequestActions& actions, unsigned tries, const PeerIdentity& target) const
 {
-    logInfo(LogPart::Route, "a request with a key goes to VM " + target.vm + ", which is responsible for it.");
+    logInfo(LogPart::Route, "a request with a key is forwarded to VM " + target.vm + ", which is responsible for it.");
     const auto forwarded = std::make_shared<ForwardedRequest>(m_context, exchange, target.vm);
-    // The links between VMs show a loss a little later than the call does.
+    // The links between VMs detect a loss slightly later than the call does.
     forwarded->onLost([this, exchange, key, actions, tries] {
         const auto timer = std::make_shared<boost::asio::steady_timer>(m_context.ioContext, retryInterval);
         timer->async_wait([this, timer, exchange, key, actions, tries](boost::system::error_code error) {
--- a/src/daemon/KeyedRequestRouter.h
+++ b/src/daemon/KeyedRequestRouter.h
@@ -1,4 +1,4 @@
-// Brings requests with a key to the VM that is responsible for it.
+// Routes requests with a key to the VM that is responsible for it.
 #pragma once
 
 #include "daemon/GenerationContext.h"
@@ -13,13 +13,14 @@
 struct PeerIdentity;
 struct KeyPlacement;
 
-// What a handler does with a request that has come to the right VM. Called on any thread, one of them, once.
+// The actions of a handler for a request that has reached the right VM. At most one of serve, takeOver and refuse is
+// called, once, on any thread.
 struct KeyedRequestActions {
-    // This VM runs the key already.
+    // Returns true when this VM already runs the key.
     std::function<bool()> isHere;
-    // Serves the request here.
+    // Serves the request on this VM.
     std::function<void()> serve;
-    // Takes the key over from a VM that is lost.
+    // Takes the key over from a lost VM.
     std::function<void()> takeOver;
     std::function<void(const JsonError&)> refuse;
 };
--- a/src/daemon/KeyedServiceCall.h
+++ b/src/daemon/KeyedServiceCall.h
@@ -1,4 +1,5 @@
-// A call to a plain service that carries a key: run once, its response kept for whoever sends the key again.
+// A call to a plain service with an idempotency key: runs once, and its response is kept for requests with the same
+// key.
 #pragma once
 
 #include "daemon/GenerationContext.h"
@@ -14,32 +15,34 @@
 
 struct ServiceSettings;
 
-// Stands in for the callers towards the ServiceCall, which so runs to its end whether they stay or go. With other VMs,
-// the call goes out when one of them has taken note of it.
+// Acts as the caller of the ServiceCall, so that the call runs to its end even if all callers disconnect. In a cluster,
+// the call is sent once another VM has stored its record. When no other VM can be reached, only a repeatable call is
+// sent.
 //
-// Thread-safe, under one lock of its own.
+// Thread-safe, with one lock of its own.
 class KeyedServiceCall final : public HttpExchange,
                                public JournalSource,
                                public std::enable_shared_from_this<KeyedServiceCall> {
 public:
     KeyedServiceCall(const GenerationContext&, const ServiceSettings&, HttpRequest, std::string key, bool repeatable);
 
-    // The key under which all VMs know a call. A line feed cannot be part of a header's value, so no completion has it.
+    // The key of a call on all VMs. It contains a line feed, which a header value cannot, so it never equals the key of
+    // a completion.
     static std::string keyOf(const HttpRequest&, const std::string& service);
-    // The same key with another request is a mistake of the caller.
+    // Returns false when the key is used with another request, which is an error of the caller.
     bool isSameRequest(const HttpRequest&) const;
 
     void start();
-    // Answers without a run: the work may have run on a VM that is lost.
+    // Responds without a run, because the work may have run on a VM that was lost.
     void startAsUnknown();
-    // Gives the response to one more caller, now or when it is there.
+    // Sends the response to one more caller, now or as soon as it exists.
     void join(const std::shared_ptr<HttpExchange>&);
     std::optional<Milliseconds> endedAt() const;
-    // The call was refused as not run: its key is free for a new try.
+    // True when the call was refused as not run: its key may be used again.
     bool isVoid() const;
     void forget();
 
-    // HttpExchange, towards the ServiceCall.
+    // HttpExchange, as the ServiceCall sees it.
     const HttpRequest& request() const override { return m_request; }
     void respond(HttpResponse) override;
     void stream(HttpResponse, std::shared_ptr<HttpBodySource>) override { }
@@ -56,7 +59,7 @@
 
 private:
     void run();
-    // Returns true the first time.
+    // Returns true on the first call only.
     bool takeStart();
 
     const GenerationContext m_context;
@@ -65,7 +68,7 @@
     const std::string m_key;
     const bool m_repeatable;
     mutable std::mutex m_mutex;
-    // All that follows is under the lock.
+    // The members below are guarded by the lock.
     bool m_isStarted { false };
     std::optional<HttpResponse> m_response;
     std::optional<Milliseconds> m_endedAt;
--- a/src/daemon/LiveGeneration.cpp
+++ b/src/daemon/LiveGeneration.cpp
@@ -18,14 +18,15 @@
 
 namespace {
 
-// The connection's own time limit is only a guard; silence and deadlines are noticed by the driver.
+// The connection's own timeout is only a safeguard; the driver detects silence and missed deadlines.
 constexpr Milliseconds callTimeout { 86400000 };
 
 constexpr Milliseconds stopTimeout { 2000 };
-// A timer that fires this late says that this VM stood still, and how long its streams are then given.
+// A timer that fires later than ownPauseLimit shows that this VM was paused; its streams then get pauseExcuse more time
+// before they count as silent.
 constexpr Milliseconds ownPauseLimit { 100 };
 constexpr Milliseconds pauseExcuse { 100 };
-// Stands in an id between the generation and the number of times it was taken over.
+// Separates the generation from its number of takeovers in an id.
 constexpr char takeoverMark = '~';
 
 std::string baseOf(const std::string& id) { return id.substr(0, id.find(takeoverMark)); }
@@ -77,7 +78,7 @@
     if (isJournaled())
         m_context.cluster.attach(shared_from_this());
     const std::lock_guard lock(m_mutex);
-    // A request that must not be repeated is sent to an endpoint only when another VM has taken note of it.
+    // A request that must not be repeated is sent to an endpoint only when another VM has stored its record.
     if (!isJournaled() || m_request.repeatable || m_adopted)
         startDriver();
     afterEvent();
@@ -102,8 +103,8 @@
     m_driver.revive(now, now + m_request.timeLimit);
     if (wasOver && !m_driver.isOver()) {
         logInfo(LogPart::Caller,
-            "generation " + m_id + " goes on at position " + std::to_string(m_driver.generation().length())
-                + ": a caller has come back.");
+            "generation " + m_id + " is resumed at position " + std::to_string(m_driver.generation().length())
+                + " because a caller has returned.");
         m_endedAt.reset();
     }
     afterEvent();
@@ -245,7 +246,8 @@
 void LiveGeneration::journalAcknowledged(const JournalCursor& cursor)
 {
     const std::lock_guard lock(m_mutex);
-    // A batch of an earlier replica may be acknowledged late; what one held counts.
+    // A batch to an earlier replica may be acknowledged late; the longest length that any replica has acknowledged
+    // counts.
     m_acknowledged.length = std::max(m_acknowledged.length, cursor.length);
     m_acknowledged.isEnded = m_acknowledged.isEnded || cursor.isEnded;
     m_isUnprotected = false;
@@ -258,10 +260,11 @@
 {
     const std::lock_guard lock(m_mutex);
     const bool mayGoOn = m_request.repeatable && m_context.settings.journal.goOnUnprotected;
-    // What has begun goes on: a caller is better served by an answer that could be lost than by none.
+    // A generation that has started continues: an answer that could be lost is better for the caller than none.
     const bool mustStop = !m_driver.isStarted() && !mayGoOn;
     logWarning(LogPart::Journal,
-        "generation " + m_id + (mustStop ? " is refused" : " goes on unprotected") + ": no other VM can be reached.");
+        "generation " + m_id + (mustStop ? " is refused" : " continues without a replica")
+            + ": no other VM can be reached.");
     m_isUnprotected = true;
     if (mustStop)
         m_driver.stop(GenerationErrorCode::NotProtected);
@@ -272,7 +275,7 @@
 {
     m_context.cluster.detach(*this);
     const std::lock_guard lock(m_mutex);
-    logWarning(LogPart::Journal, "generation " + m_id + " stops here: another VM runs it now.");
+    logWarning(LogPart::Journal, "generation " + m_id + " is stopped because another VM runs it now.");
     m_driver.stop(GenerationErrorCode::TakenOver);
     afterEvent();
 }
@@ -305,7 +308,8 @@
 void LiveGeneration::tokensArrived(AttemptNumber attempt, std::size_t position, std::vector<Token> tokens)
 {
     const std::lock_guard lock(m_mutex);
-    // Without the ids of the prompt a loss could not be resumed, so an engine that does not give them is not used.
+    // Without the token ids of the prompt, the generation could not be resumed after a loss, so an engine that does not
+    // send them is not used.
     if (m_promptIds.empty()) {
         m_driver.attemptFailed(attempt, FailureKind::MalformedEvent, m_context.clock.now());
         afterEvent();
@@ -319,7 +323,7 @@
         }
         m_context.metrics.refusedTokens.Increment();
         logInfo(LogPart::Attempt,
-            attemptText(attempt) + " has a token refused at position " + std::to_string(position - 1) + ": "
+            attemptText(attempt) + ": token refused at position " + std::to_string(position - 1) + ": "
                 + std::string(nameIn(appendResultNames, result)) + ".");
         break;
     }
@@ -376,7 +380,7 @@
     const bool runsOn = isJournaled() && !m_attempt->isFinished();
     if (runsOn)
         stopStream(m_endpoint->settings(), m_journaledAttempt->stream);
-    // Not on this stack: cancelling may run callbacks of the call, and those take the lock.
+    // Posted, because cancelling may run callbacks of the call that take the lock.
     boost::asio::post(m_context.ioContext, [attempt = std::move(m_attempt)] { attempt->cancel(); });
     m_attempt.reset();
 }
@@ -403,12 +407,12 @@
     logInfo(LogPart::Attempt,
         attemptText(report.number) + " resumed at position " + std::to_string(report.position) + ", "
             + std::to_string(report.gap.count()) + " ms after the last token and "
-            + std::to_string(report.sinceDetection.count()) + " ms after the loss was noticed.");
+            + std::to_string(report.sinceDetection.count()) + " ms after the loss was detected.");
 }
 
 std::string LiveGeneration::streamId(AttemptNumber attempt) const { return m_id + ":" + std::to_string(attempt); }
 
-// An engine that keeps streams without a connection has to be told to stop one.
+// Tells the engine to stop a stream, because it may keep streams running without a connection.
 void LiveGeneration::stopStream(const EndpointSettings& endpoint, const std::string& stream)
 {
     class Nobody final : public HttpCallListener {
@@ -439,7 +443,7 @@
     return prefix;
 }
 
-// What every event can lead to: news for the watchers, an end, a new time for the timer.
+// Does what any event may require: notifies the watchers, records the end and sets the timer.
 void LiveGeneration::afterEvent()
 {
     if (m_driver.isOver() && !m_endedAt) {
@@ -490,8 +494,8 @@
     const auto now = m_context.clock.now();
     const bool wasPaused = now - m_armedFor >= ownPauseLimit;
     m_armedFor = Milliseconds::max();
-    // A VM that stood still finds every stream silent, while their tokens wait in its sockets. They are read first;
-    // what is still silent after that is noticed at the next firing.
+    // After a pause of this VM every stream looks silent while its tokens wait in the sockets. Those are read first; a
+    // stream that is still silent after that is detected when the timer fires next.
     if (wasPaused && !m_isPauseExcused) {
         m_isPauseExcused = true;
         armTimerFor(now + pauseExcuse);
@@ -502,13 +506,14 @@
     afterEvent();
 }
 
-// A keyed generation that must not be repeated runs to its end, because its answer could not be had a second time.
+// A keyed generation that must not be repeated runs to its end, because its answer could not be generated a second
+// time.
 void LiveGeneration::lastWatcherLeft()
 {
     m_context.metrics.callersGone.Increment();
     const bool canComeBack = !m_request.idempotencyKey.empty();
     if (canComeBack && !m_request.repeatable) {
-        logInfo(LogPart::Caller, "generation " + m_id + " runs on without a caller: it must not be repeated.");
+        logInfo(LogPart::Caller, "generation " + m_id + " continues without a caller because it must not be repeated.");
         return;
     }
     const auto grace = canComeBack ? m_context.settings.generation.detachedGrace : Milliseconds::zero();
@@ -532,7 +537,7 @@
         return;
     logInfo(LogPart::Caller,
         "generation " + m_id + " is cancelled at position " + std::to_string(m_driver.generation().length())
-            + ": the caller has gone.");
+            + " because its caller has disconnected.");
     m_driver.abandon();
     afterEvent();
 }
--- a/src/daemon/LiveGeneration.h
+++ b/src/daemon/LiveGeneration.h
@@ -1,4 +1,4 @@
-// A generation in progress or kept: the driver, its attempts on engines, and the callers who wait for it.
+// A generation in progress or kept after its end: its driver, its attempts on engines, and the callers who wait for it.
 #pragma once
 
 #include "daemon/AttemptRecord.h"
@@ -19,62 +19,62 @@
 class EngineAttempt;
 class GenerationWatcher;
 
-// Thread-safe, under one lock of its own. Owned by the registry, by its callers and by its pending operations.
+// Thread-safe, with one lock of its own. Owned by the registry, by its callers and by its pending operations.
 class LiveGeneration final : public AttemptHost,
                              public JournalSource,
                              public std::enable_shared_from_this<LiveGeneration> {
 public:
     LiveGeneration(const GenerationContext&, CompletionRequest, std::string id);
 
-    // Takes up a generation that another VM ran. Its id names the takeover, so that the answer goes on under another id
-    // and two runs of it cannot be spliced.
+    // Continues a generation that another VM ran. Its new id includes the number of takeovers, so that parts of two
+    // runs cannot be joined into one answer.
     LiveGeneration(const GenerationContext&, CompletionRequest, ReplicaRecord);
 
     void start();
 
-    // True when the tokens up to a position were sent to callers under an id, by this VM or by the one that ran the
+    // True when callers were sent the tokens up to a position under an id, by this VM or by the VM that ran the
     // generation before.
     bool holds(const std::string& id, std::size_t position) const;
     const std::string& id() const { return m_id; }
     const CompletionRequest& request() const { return m_request; }
 
-    // A watcher hears of progress until it is detached; the first call comes at once when there is something already.
-    // A generation that was cancelled because its callers had gone is taken up again.
+    // A watcher is notified of progress until it is detached; the first call comes at once if there is progress
+    // already. A generation that was cancelled because its callers had disconnected is resumed.
     void attach(const std::shared_ptr<GenerationWatcher>&);
-    // When the last watcher goes the work is cancelled, at once or after the time that the settings give.
+    // When the last watcher is detached the work is cancelled, at once or after the time in the settings.
     void detach(const GenerationWatcher&);
 
-    // The replica may let go of the generation.
+    // Tells the replica that it may remove the generation.
     void forget();
-    // Another VM runs the generation now, or it was refused as not run: its key is free for a new try here.
+    // True when another VM runs the generation now, or when it was refused as not run: its key may be used again here.
     bool isVoid() const;
-    // Lets go of all watchers, without a word to them. Only for the end of the process.
+    // Removes all watchers without notifying them. Only for the end of the process.
     void shutDown();
 
-    // Reads up to a number of tokens from a position on.
+    // Reads at most maxTokens tokens from a position on.
     GenerationSlice read(std::size_t position, std::size_t maxTokens) const;
     std::size_t releasedLength() const;
     std::size_t promptLength() const;
     bool isOver() const;
-    // The instant at which the generation ended; nothing while it runs.
+    // The time at which the generation ended; nothing while it runs.
     std::optional<Milliseconds> endedAt() const;
     std::vector<AttemptRecord> attempts() const;
 
-    // Reports of an attempt; the rest of the attempt's news is refused once it is no longer the current one.
+    // Reports from an attempt. They are refused when the attempt is no longer the current one.
     void attemptAccepted(AttemptNumber);
     void promptIdsKnown(AttemptNumber, std::vector<TokenId>);
     void tokensArrived(AttemptNumber, std::size_t position, std::vector<Token>);
     void attemptFinished(AttemptNumber, std::size_t position, FinishReason);
     void attemptFailed(AttemptNumber, FailureKind);
 
-    // JournalSource; called by the journal without any lock.
+    // JournalSource. The journal calls these functions without any lock.
     const std::string& journalKey() const override { return m_key; }
     bool fillJournal(JournalCursor&, wire::JournalItem&, std::vector<Token>&) const override;
     void journalAcknowledged(const JournalCursor&) override;
     void journalUnprotected() override;
     void journalRefused() override;
 
-    // AttemptHost; called by the driver under the lock.
+    // AttemptHost. The driver calls these functions under the lock.
     std::optional<EndpointChoice> chooseEndpoint(const std::vector<EndpointName>& avoid) override;
     void startAttempt(const AttemptOrder&) override;
     void cancelAttempt(AttemptNumber) override;
@@ -102,11 +102,11 @@
     const CompletionRequest m_request;
     const std::string m_id;
     const std::string m_key;
-    // What another VM had of the generation, where this one took it over.
+    // The record of another VM's run, if this VM took the generation over.
     const std::optional<ReplicaRecord> m_adopted;
 
     mutable std::mutex m_mutex;
-    // All that follows is under the lock.
+    // The members below are guarded by the lock.
     GenerationDriver m_driver;
     std::vector<TokenId> m_promptIds;
     std::shared_ptr<EndpointState> m_endpoint;
@@ -115,10 +115,10 @@
     std::vector<std::shared_ptr<GenerationWatcher>> m_watchers;
     std::size_t m_notifiedLength { 0 };
     std::optional<Milliseconds> m_endedAt;
-    // What a replica holds. Callers are shown no more, unless no replica can be reached.
+    // The part that a replica holds. Callers get no tokens beyond it, unless no replica can be reached.
     JournalCursor m_acknowledged;
     bool m_isUnprotected { false };
-    // The stream that an attempt on this VM runs, for the journal.
+    // The engine stream of an attempt of this VM, for the journal.
     std::optional<JournaledAttempt> m_journaledAttempt;
     boost::asio::steady_timer m_timer;
     Milliseconds m_armedFor { Milliseconds::max() };
--- a/src/daemon/Metrics.h
+++ b/src/daemon/Metrics.h
@@ -1,4 +1,4 @@
-// The daemon's metrics, by prometheus-cpp.
+// The daemon's metrics, based on prometheus-cpp.
 #pragma once
 
 #include "http/HttpCallListener.h"
@@ -16,7 +16,7 @@
 
 class EndpointTable;
 
-// Thread-safe. Members are set up once and refer into the registry.
+// Thread-safe. The members are created once and refer to the registry.
 class Metrics {
 public:
     Metrics();
@@ -24,7 +24,7 @@
     void countRequest(const std::string& kind, unsigned status);
     void countFailure(FailureKind);
     void countRefusal(RunOutcome);
-    // Text exposition of all metrics, with the endpoints' present state.
+    // All metrics in the text exposition format, with the current state of the endpoints.
     std::string exposition(const EndpointTable&);
 
 private:
@@ -38,7 +38,7 @@
 public:
     prometheus::Counter& attempts;
     prometheus::Counter& tokens;
-    // Tokens that a lost or superseded attempt offered and that were refused.
+    // Tokens of a lost or superseded attempt that were refused.
     prometheus::Counter& refusedTokens;
     prometheus::Counter& resumptions;
     // Milliseconds from the last token before a loss to the first one after it.
--- a/src/daemon/PeerWatcher.h
+++ b/src/daemon/PeerWatcher.h
@@ -1,4 +1,4 @@
-// Hears that another VM is lost.
+// Notified when another VM is lost.
 #pragma once
 
 namespace lupinknot::internal {
--- a/src/daemon/PlatformReader.cpp
+++ b/src/daemon/PlatformReader.cpp
@@ -16,7 +16,7 @@
 
 constexpr unsigned statusOk = 200;
 
-// Reads `{"endpoints": [{"name": "e1", "state": "live"}, ...]}`; nothing when it is something else.
+// Parses `{"endpoints": [{"name": "e1", "state": "live"}, ...]}`. Returns nothing for any other input.
 std::optional<std::vector<EndpointListingEntry>> parseListing(const std::string& text)
 {
     const auto body = json::parse(text, nullptr, false);
@@ -125,7 +125,7 @@
 {
     const auto entries = parseListing(m_body);
     if (!entries) {
-        noteFailure("a list that cannot be read");
+        noteFailure("the list is malformed");
         return;
     }
     m_endpoints.applyListing(*entries);
@@ -139,7 +139,7 @@
 {
     if (!m_isFailing && !m_isStopped)
         logWarning(
-            LogPart::Platform, "the platform's list cannot be read (" + reason + "); the last reading stays in force.");
+            LogPart::Platform, "the platform's list cannot be read (" + reason + "); the last list stays in force.");
     m_isFailing = true;
 }
 
--- a/src/daemon/PlatformReader.h
+++ b/src/daemon/PlatformReader.h
@@ -1,4 +1,4 @@
-// Reads the platform's list of live and leaving endpoints, again and again.
+// Reads the platform's list of endpoints, with their states, at regular intervals.
 #pragma once
 
 #include "common/ByteSizes.h"
@@ -15,14 +15,14 @@
 class EndpointTable;
 class HttpCall;
 
-// Thread-safe. While the platform does not answer, the last reading stays in force: the endpoints go on serving.
+// Thread-safe. While the platform does not respond, the last list stays in force, so the endpoints continue to serve.
 class PlatformReader final : public HttpCallListener, public std::enable_shared_from_this<PlatformReader> {
 public:
     PlatformReader(const GenerationContext&, EndpointTable&);
 
     void start();
     void stop();
-    // The age of the last good reading; nothing when there was none.
+    // The time since the list was last read successfully; nothing when it never was.
     std::optional<Milliseconds> age() const;
 
     void headArrived(unsigned status, const HttpHeaders&) override;
@@ -41,7 +41,7 @@
     const GenerationContext m_context;
     EndpointTable& m_endpoints;
     mutable std::mutex m_mutex;
-    // All that follows is under the lock.
+    // The members below are guarded by the lock.
     boost::asio::steady_timer m_timer;
     std::shared_ptr<HttpCall> m_call;
     unsigned m_status { 0 };
--- a/src/daemon/ServiceCall.cpp
+++ b/src/daemon/ServiceCall.cpp
@@ -42,7 +42,7 @@
 {
     m_exchange->onGone([self = shared_from_this()] { self->cancel(); });
     const std::lock_guard lock(m_mutex);
-    // A caller can be gone before the call begins.
+    // The caller can disconnect before the call starts.
     if (!m_isOver)
         tryNext();
 }
@@ -112,7 +112,8 @@
         refuse({ 503, "no_endpoint", "no endpoint of the service can take the call", "", outcome, retryAfter });
         return;
     }
-    // A silent endpoint must not use up the time of the tries that may follow; where none may, it has all of it.
+    // A silent endpoint must not use up the time of later attempts; the last possible attempt gets all the remaining
+    // time.
     const auto triesLeft = m_repeatable ? m_service.maxAttempts - m_tries + 1 : 1;
     m_endpoint->workStarted();
     m_call = m_context.calls.start(m_endpoint->settings().socketAddress(), outgoing(),
@@ -139,12 +140,12 @@
     m_isOver = true;
     m_context.metrics.countRequest(requestKind, error.status);
     m_context.metrics.countRefusal(error.outcome);
-    logInfo(
-        LogPart::Service, subject() + " is refused with " + std::to_string(error.status) + ": " + error.message + ".");
+    logInfo(LogPart::Service,
+        subject() + " is refused with status " + std::to_string(error.status) + ": " + error.message + ".");
     m_exchange->respond(errorResponse(error));
 }
 
-// The caller has gone: nobody waits, and the endpoint may stop where it can.
+// Called when the caller disconnects: the response is no longer needed, and the endpoint may stop its work if it can.
 void ServiceCall::cancel()
 {
     const std::lock_guard lock(m_mutex);
@@ -161,7 +162,7 @@
 std::string ServiceCall::subject() const
 {
     return "service " + m_service.name + " call " + m_exchange->request().method + " "
-        + std::string(m_exchange->request().path()) + " try " + std::to_string(m_tries);
+        + std::string(m_exchange->request().path()) + " attempt " + std::to_string(m_tries);
 }
 
 } // namespace lupinknot::internal
--- a/src/daemon/ServiceCall.h
+++ b/src/daemon/ServiceCall.h
@@ -1,4 +1,4 @@
-// One call to a plain service: tried on its endpoints until one answers, within the call's deadline.
+// One call to a plain service: tries the service's endpoints until one responds, within the call's deadline.
 #pragma once
 
 #include "common/ByteSizes.h"
@@ -16,10 +16,10 @@
 class HttpExchange;
 struct JsonError;
 
-// The response is passed on when it is whole, so that a try that breaks off can be repeated without a trace. A call
-// that must not be repeated is tried again only where no connection came about.
+// The response is passed on when it is complete, so that an attempt that breaks off can be repeated unnoticed. A call
+// that must not be repeated is tried again only if no connection was established.
 //
-// Thread-safe, under one lock of its own. Kept alive by its call in progress.
+// Thread-safe, with one lock of its own. Kept alive by its call in progress.
 class ServiceCall final : public HttpCallListener, public std::enable_shared_from_this<ServiceCall> {
 public:
     ServiceCall(const GenerationContext&, const ServiceSettings&, std::shared_ptr<HttpExchange>, bool repeatable);
@@ -49,7 +49,7 @@
     const Milliseconds m_deadline;
 
     std::mutex m_mutex;
-    // All that follows is under the lock.
+    // The members below are guarded by the lock.
     unsigned m_tries { 0 };
     bool m_mayHaveRun { false };
     bool m_isOver { false };
--- a/src/daemon/ServiceHandler.cpp
+++ b/src/daemon/ServiceHandler.cpp
@@ -83,7 +83,7 @@
     m_router.route(exchange, key,
         { [this, key] { return runsKey(key); }, [join] { join(false); },
             [this, join, key] {
-                // There was a record, so the work may have run, whoever takes it over first.
+                // A record existed, so the work may have run, whichever request takes it over first.
                 m_context.cluster.takeOver(key);
                 join(true);
             },
@@ -115,7 +115,7 @@
         call->start();
 }
 
-// The longest path wins, so that a service can stand beneath another's path.
+// The longest matching path is chosen, so that the path of one service can lie below another's.
 const ServiceSettings* ServiceHandler::find(std::string_view path) const
 {
     const ServiceSettings* best = nullptr;
--- a/src/daemon/ServiceHandler.h
+++ b/src/daemon/ServiceHandler.h
@@ -1,4 +1,4 @@
-// Takes callers' requests to plain services, by their path.
+// Handles callers' requests to plain services, which are selected by path.
 #pragma once
 
 #include "daemon/GenerationContext.h"
@@ -14,7 +14,7 @@
 class KeyedServiceCall;
 struct ServiceSettings;
 
-// Thread-safe. Calls with a key are kept, under one lock, for the time that answers are kept.
+// Thread-safe. Calls with a key are kept, under one lock, as long as answers are kept.
 class ServiceHandler {
 public:
     explicit ServiceHandler(const GenerationContext&);
@@ -24,7 +24,7 @@
 
     // Returns false when no service has the request's path.
     bool handle(const std::shared_ptr<HttpExchange>&);
-    // True when this VM has run a call with a key, or runs it.
+    // True when this VM runs or has run a call with a key.
     bool runsKey(const std::string& key);
     void sweep();
 
@@ -37,7 +37,7 @@
     const GenerationContext m_context;
     const KeyedRequestRouter m_router;
     mutable std::mutex m_mutex;
-    // Under the lock.
+    // Guarded by the lock.
     std::map<std::string, std::shared_ptr<KeyedServiceCall>> m_calls;
 };
 
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -41,8 +41,7 @@
 
 int serve(const DaemonSettings& settings)
 {
-    // The signals are blocked before the first thread is made, so in every thread, and taken by one that waits for
-    // them.
+    // The signals are blocked before the first thread starts, and therefore in every thread; one thread waits for them.
     sigset_t signals;
     sigemptyset(&signals);
     sigaddset(&signals, SIGTERM);
@@ -100,7 +99,8 @@
     try {
         const auto code = run(parseOptions(argc, argv));
         std::cout.flush();
-        // The detached signal thread and the call library's pool still run; nothing is left to be written.
+        // Skips destructors of static objects, because the detached signal thread and the call library's thread pool
+        // still run; no output is pending.
         std::quick_exit(code);
     } catch (const std::exception& error) {
         std::cerr << "lupinknotd: " << error.what() << "\n";
