--- a/src/daemon/AdminHandler.cpp
+++ b/src/daemon/AdminHandler.cpp
@@ -31,7 +31,7 @@
     return { { "name", settings.name }, { "zone", settings.zone }, { "address", settings.socketAddress().text() },
         { "listing", nameIn(endpointListingNames, endpoint.listing()) }, { "in_flight", endpoint.inFlight() },
         { "eligible", endpoint.isEligible(now) },
-        { "ejected_for_ms", std::max<std::int64_t>(0, endpoint.ejectedFor(now).count()) },
+        { "ejected_for_ms", std::max<std::int64_t>(0, endpoint.ejectionTimeLeft(now).count()) },
         { "silence_patience_ms", endpoint.pulse()->patience().count() } };
 }
 
--- a/src/daemon/Cluster.cpp
+++ b/src/daemon/Cluster.cpp
@@ -56,11 +56,11 @@
     , m_self { settings.vm.name, incarnation }
     , m_startedAt(clock.now())
     , m_view(staticView(settings))
-    , m_lastChange(clock.now())
+    , m_lastMembershipChange(clock.now())
 {
 }
 
-std::optional<std::string> Cluster::start(unsigned short callerPort, RunsKey runsKey)
+std::optional<std::string> Cluster::start(unsigned short callerPort, RunsKeyFunction runsKey)
 {
     m_runsKey = std::move(runsKey);
     if (!isEnabled())
@@ -78,23 +78,23 @@
     for (const auto& link : m_links)
         link.second.journal->close();
     m_links.clear();
-    m_placed.clear();
+    m_replicaVms.clear();
 }
 
-void Cluster::place(const std::string& key, bool isForwarded, Decide decide)
+void Cluster::place(const std::string& key, bool isForwarded, PlacementCallback decide)
 {
     if (!isEnabled()) {
         decide({});
         return;
     }
     if (!hasJoined()) {
-        placeLater(key, isForwarded, std::move(decide));
+        schedulePlacement(key, isForwarded, std::move(decide));
         return;
     }
     if (const auto placement = placeByOwnRecord(key)) {
         // The runner may have moved its journal and left an older record here, so the other VMs are asked first.
         if (placement->kind == KeyPlacement::Kind::TakeOver)
-            ask(key, std::move(decide));
+            queryPeers(key, std::move(decide));
         else
             decide(*placement);
         return;
@@ -104,10 +104,10 @@
         decide({ KeyPlacement::Kind::Forward, *owner, std::nullopt });
         return;
     }
-    if (isSettled())
+    if (isMembershipStable())
         decide({});
     else
-        ask(key, std::move(decide));
+        queryPeers(key, std::move(decide));
 }
 
 std::optional<ReplicaRecord> Cluster::takeOver(const std::string& key) { return m_store.seal(key, m_clock.now()); }
@@ -122,7 +122,7 @@
     }
     {
         const std::lock_guard lock(m_mutex);
-        m_placed[source.get()] = vm;
+        m_replicaVms[source.get()] = vm;
     }
     logDebug(LogPart::Journal, "a generation is replicated to VM " + vm + ".");
     link->add(source);
@@ -133,8 +133,8 @@
     std::shared_ptr<JournalLink> link;
     {
         const std::lock_guard lock(m_mutex);
-        const auto placed = m_placed.find(&source);
-        if (placed == m_placed.end())
+        const auto placed = m_replicaVms.find(&source);
+        if (placed == m_replicaVms.end())
             return;
         const auto entry = m_links.find(placed->second);
         if (entry == m_links.end())
@@ -149,13 +149,13 @@
     std::shared_ptr<JournalLink> link;
     {
         const std::lock_guard lock(m_mutex);
-        const auto placed = m_placed.find(&source);
-        if (placed == m_placed.end())
+        const auto placed = m_replicaVms.find(&source);
+        if (placed == m_replicaVms.end())
             return;
         const auto entry = m_links.find(placed->second);
         if (entry != m_links.end())
             link = entry->second.journal;
-        m_placed.erase(placed);
+        m_replicaVms.erase(placed);
     }
     if (link)
         link->remove(&source);
@@ -203,8 +203,8 @@
         auto& link = m_links[peer.vm];
         if (peer.link < link.number)
             return;
-        m_lastChange = m_clock.now();
-        m_incoming.erase(peer.vm);
+        m_lastMembershipChange = m_clock.now();
+        m_incomingJournals.erase(peer.vm);
         older = std::move(link.journal);
         link = { peer.link,
             std::make_shared<JournalLink>(m_ioContext, m_view.epoch, m_settings.journal.flushInterval, send) };
@@ -223,8 +223,8 @@
         // A newer link to this VM may already be up.
         if (entry == m_links.end() || entry->second.number != peer.link)
             return;
-        m_lastChange = m_clock.now();
-        m_incoming.erase(peer.vm);
+        m_lastMembershipChange = m_clock.now();
+        m_incomingJournals.erase(peer.vm);
         journal = std::move(entry->second.journal);
         m_links.erase(entry);
         watchers = std::move(m_watchers[peer.vm]);
@@ -286,7 +286,7 @@
     return m_hasJoined;
 }
 
-void Cluster::placeLater(const std::string& key, bool isForwarded, Decide decide)
+void Cluster::schedulePlacement(const std::string& key, bool isForwarded, PlacementCallback decide)
 {
     const auto timer = std::make_shared<boost::asio::steady_timer>(m_ioContext, joinPollInterval);
     timer->async_wait([weak = weak_from_this(), timer, key, isForwarded, decide = std::move(decide)](
@@ -305,10 +305,10 @@
 }
 
 // When the reachable VMs have not changed for as long as answers are kept, a key that its owner does not know is new.
-bool Cluster::isSettled() const
+bool Cluster::isMembershipStable() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_clock.now() - m_lastChange >= m_settings.generation.retention;
+    return m_clock.now() - m_lastMembershipChange >= m_settings.generation.retention;
 }
 
 std::optional<KeyPlacement> Cluster::placeByOwnRecord(const std::string& key) const
@@ -332,7 +332,7 @@
     return std::nullopt;
 }
 
-void Cluster::ask(const std::string& key, Decide decide)
+void Cluster::queryPeers(const std::string& key, PlacementCallback decide)
 {
     const auto peers = m_network->up();
     if (peers.empty()) {
@@ -366,28 +366,28 @@
         const auto query = m_queries.find(id);
         if (query == m_queries.end())
             return;
-        query->second.answersMissing = 0;
+        query->second.pendingAnswers = 0;
     }
-    conclude(id);
+    completeQuery(id);
 }
 
-void Cluster::conclude(std::uint64_t id)
+void Cluster::completeQuery(std::uint64_t id)
 {
     Query query;
     {
         const std::lock_guard lock(m_mutex);
         const auto entry = m_queries.find(id);
-        if (entry == m_queries.end() || entry->second.answersMissing)
+        if (entry == m_queries.end() || entry->second.pendingAnswers)
             return;
         query = std::move(entry->second);
         m_queries.erase(entry);
     }
-    query.decide(placementAfter(query));
+    query.decide(placementFromAnswers(query));
 }
 
 // Prefers the VM that runs the key, then the one that holds the longest record; of two equally long records, the one on
 // the VM with the smaller name.
-KeyPlacement Cluster::placementAfter(const Query& query) const
+KeyPlacement Cluster::placementFromAnswers(const Query& query) const
 {
     auto local = placeByOwnRecord(query.key);
     if (!query.holder)
@@ -448,7 +448,7 @@
     if (item.drop()) {
         m_store.drop(runner, keyOfHandle(peer, item.handle()));
         const std::lock_guard lock(m_mutex);
-        m_incoming[peer.vm].streams.erase(item.handle());
+        m_incomingJournals[peer.vm].streams.erase(item.handle());
         return result;
     }
     if (item.has_open()) {
@@ -457,7 +457,7 @@
         // This VM may run the key itself, for a caller who came while the two VMs could not reach each other.
         result = m_runsKey(key) ? JournalResult::Refused : m_store.open(epoch, std::move(record));
         const std::lock_guard lock(m_mutex);
-        m_incoming[peer.vm].streams[item.handle()] = { key, 0 };
+        m_incomingJournals[peer.vm].streams[item.handle()] = { key, 0 };
     }
     const auto key = keyOfHandle(peer, item.handle());
     if (result == JournalResult::Applied && item.has_attempt())
@@ -482,7 +482,7 @@
 {
     const ViewMember runner { peer.vm, peer.incarnation };
     const std::lock_guard lock(m_mutex);
-    auto& incoming = m_incoming[peer.vm];
+    auto& incoming = m_incomingJournals[peer.vm];
     return readTokens(batch, incoming.texts, [&](std::uint32_t handle, std::vector<Token> tokens) {
         auto& stream = incoming.streams[handle];
         const auto position = stream.length;
@@ -495,8 +495,8 @@
 std::string Cluster::keyOfHandle(const PeerIdentity& peer, std::uint32_t handle) const
 {
     const std::lock_guard lock(m_mutex);
-    const auto incoming = m_incoming.find(peer.vm);
-    if (incoming == m_incoming.end())
+    const auto incoming = m_incomingJournals.find(peer.vm);
+    if (incoming == m_incomingJournals.end())
         return {};
     const auto stream = incoming->second.streams.find(handle);
     return stream == incoming->second.streams.end() ? std::string {} : stream->second.key;
@@ -512,8 +512,8 @@
     const auto record = m_store.find(key);
     // A record of the querying VM itself counts if it dates from before that VM's restart. Since its restart, that VM
     // knows best whether it has released the key.
-    const bool isAskersOwn = record && record->runner == ViewMember { peer.vm, peer.incarnation };
-    answer.set_is_known(answer.is_runner() || (record && !isAskersOwn));
+    const bool isOwnRecordOfPeer = record && record->runner == ViewMember { peer.vm, peer.incarnation };
+    answer.set_is_known(answer.is_runner() || (record && !isOwnRecordOfPeer));
     answer.set_length(record ? record->tokens.size() : 0);
     m_network->send(peer.vm, reply);
 }
@@ -527,7 +527,7 @@
         if (entry == m_queries.end())
             return;
         auto& query = entry->second;
-        query.answersMissing -= query.answersMissing ? 1 : 0;
+        query.pendingAnswers -= query.pendingAnswers ? 1 : 0;
         const bool isMore = !query.holder || answer.length() > query.holderLength
             || (answer.length() == query.holderLength && peer.vm < query.holder->vm);
         if (answer.is_known() && !query.isHolderRunner && (answer.is_runner() || isMore)) {
@@ -536,9 +536,9 @@
             query.holderLength = answer.length();
         }
         if (answer.is_runner())
-            query.answersMissing = 0;
+            query.pendingAnswers = 0;
     }
-    conclude(answer.id());
+    completeQuery(answer.id());
 }
 
 } // namespace lupinknot::internal
--- a/src/daemon/Cluster.h
+++ b/src/daemon/Cluster.h
@@ -26,21 +26,21 @@
 // never held while a source or a callback is called.
 class Cluster final : public PeerHandler, public std::enable_shared_from_this<Cluster> {
 public:
-    using Decide = std::function<void(const KeyPlacement&)>;
-    using RunsKey = std::function<bool(const std::string& key)>;
+    using PlacementCallback = std::function<void(const KeyPlacement&)>;
+    using RunsKeyFunction = std::function<bool(const std::string& key)>;
 
     Cluster(boost::asio::io_context&, const Clock&, const DaemonSettings&, std::uint64_t incarnation);
 
     // Connects to the peers. The function tells whether this VM itself runs a key. Returns an error message, or nothing
     // on success.
-    std::optional<std::string> start(unsigned short callerPort, RunsKey);
+    std::optional<std::string> start(unsigned short callerPort, RunsKeyFunction);
     void stop();
     // False when there are no peers: this VM then serves every key, and nothing is journaled.
     bool isEnabled() const { return !m_settings.peers.empty(); }
 
     // Decides which VM serves a key that this VM does not run. A forwarded request is not forwarded again to the
     // responsible VM, only to the VM that runs the key. The callback may be called before this returns or later.
-    void place(const std::string& key, bool isForwarded, Decide);
+    void place(const std::string& key, bool isForwarded, PlacementCallback);
     // Takes a record over. Returns nothing when another request has already taken it over.
     std::optional<ReplicaRecord> takeOver(const std::string& key);
 
@@ -66,8 +66,8 @@
     // A query to all other VMs whether they know a key.
     struct Query {
         std::string key;
-        Decide decide;
-        std::size_t answersMissing { 0 };
+        PlacementCallback decide;
+        std::size_t pendingAnswers { 0 };
         std::optional<PeerIdentity> holder;
         bool isHolderRunner { false };
         std::uint64_t holderLength { 0 };
@@ -75,14 +75,14 @@
 
     bool isNewestLink(const PeerIdentity&) const;
     bool hasJoined();
-    void placeLater(const std::string& key, bool isForwarded, Decide);
-    bool isSettled() const;
+    void schedulePlacement(const std::string& key, bool isForwarded, PlacementCallback);
+    bool isMembershipStable() const;
     std::optional<KeyPlacement> placeByOwnRecord(const std::string& key) const;
     std::optional<PeerIdentity> actingOwner(const std::string& key) const;
-    void ask(const std::string& key, Decide);
+    void queryPeers(const std::string& key, PlacementCallback);
     void queryTimedOut(std::uint64_t id);
-    void conclude(std::uint64_t id);
-    KeyPlacement placementAfter(const Query&) const;
+    void completeQuery(std::uint64_t id);
+    KeyPlacement placementFromAnswers(const Query&) const;
     void moveJournals(const std::shared_ptr<JournalLink>&);
     std::shared_ptr<JournalLink> linkFor(const std::string& key, std::string& vm) const;
     void journalArrived(const PeerIdentity&, const wire::Envelope&);
@@ -101,7 +101,7 @@
     View m_view;
     ReplicaStore m_store;
     std::shared_ptr<PeerNetwork> m_network;
-    RunsKey m_runsKey;
+    RunsKeyFunction m_runsKey;
     // Stays true even when links are lost later.
     std::atomic<bool> m_hasJoined { false };
 
@@ -113,9 +113,9 @@
     };
     std::map<std::string, Link> m_links;
     std::map<std::string, std::vector<std::weak_ptr<PeerWatcher>>> m_watchers;
-    std::unordered_map<const JournalSource*, std::string> m_placed;
+    std::unordered_map<const JournalSource*, std::string> m_replicaVms;
     // The streams behind a peer's handles, and the token texts received over its link.
-    struct Incoming {
+    struct IncomingJournal {
         struct Stream {
             std::string key;
             std::size_t length { 0 };
@@ -123,10 +123,10 @@
         std::unordered_map<std::uint32_t, Stream> streams;
         TokenTexts texts;
     };
-    std::map<std::string, Incoming> m_incoming;
+    std::map<std::string, IncomingJournal> m_incomingJournals;
     std::map<std::uint64_t, Query> m_queries;
     std::uint64_t m_lastQuery { 0 };
-    Milliseconds m_lastChange { 0 };
+    Milliseconds m_lastMembershipChange { 0 };
 };
 
 } // namespace lupinknot::internal
--- a/src/daemon/CompletionFormat.cpp
+++ b/src/daemon/CompletionFormat.cpp
@@ -8,12 +8,12 @@
 
 using nlohmann::json;
 
-constexpr auto replaceBadText = json::error_handler_t::replace;
+constexpr auto replaceInvalidUtf8 = json::error_handler_t::replace;
 
 // Engines may split a character over two tokens. JSON does not allow the invalid UTF-8 that results, so it is replaced.
-std::string dump(const json& value) { return value.dump(-1, ' ', false, replaceBadText); }
+std::string dump(const json& value) { return value.dump(-1, ' ', false, replaceInvalidUtf8); }
 
-json envelope(const CompletionIdentity& identity, json choice)
+json completionObject(const CompletionIdentity& identity, json choice)
 {
     choice["index"] = 0;
     return { { "id", identity.generation }, { "object", "text_completion" }, { "model", identity.model },
@@ -51,7 +51,7 @@
         const json choice { { "text", token.text }, { "token_ids", json::array({ token.id }) },
             { "finish_reason", nullptr } };
         events.append("id: ").append(identity.generation).append(":").append(std::to_string(++position));
-        events.append("\ndata: ").append(dump(envelope(identity, choice))).append("\n\n");
+        events.append("\ndata: ").append(dump(completionObject(identity, choice))).append("\n\n");
     }
     return events;
 }
@@ -60,14 +60,14 @@
 {
     const json choice { { "text", "" }, { "token_ids", json::array() },
         { "finish_reason", nameIn(finishReasonNames, reason) } };
-    auto last = envelope(identity, choice);
+    auto last = completionObject(identity, choice);
     last["usage"] = usageOf(usage);
     return "data: " + dump(last) + "\n\ndata: [DONE]\n\n";
 }
 
 std::string errorEvent(const JsonError& error) { return "event: error\ndata: " + jsonBody(error) + "\n\n"; }
 
-std::string wholeCompletion(const CompletionIdentity& identity, const std::vector<Token>& tokens, FinishReason reason,
+std::string completionBody(const CompletionIdentity& identity, const std::vector<Token>& tokens, FinishReason reason,
     const CompletionUsage& usage)
 {
     std::string text;
@@ -78,12 +78,12 @@
     }
     const json choice { { "text", text }, { "token_ids", std::move(ids) },
         { "finish_reason", nameIn(finishReasonNames, reason) } };
-    auto whole = envelope(identity, choice);
-    whole["usage"] = usageOf(usage);
-    return dump(whole);
+    auto completion = completionObject(identity, choice);
+    completion["usage"] = usageOf(usage);
+    return dump(completion);
 }
 
-JsonError refusalOf(const GenerationError& error, Milliseconds retryAfter)
+JsonError errorForCaller(const GenerationError& error, Milliseconds retryAfter)
 {
     JsonError refusal;
     refusal.code = nameIn(generationErrorCodeNames, error.code);
--- a/src/daemon/CompletionFormat.h
+++ b/src/daemon/CompletionFormat.h
@@ -26,9 +26,9 @@
 // The event that ends the stream of a generation that was given up.
 std::string errorEvent(const JsonError&);
 
-std::string wholeCompletion(const CompletionIdentity&, const std::vector<Token>&, FinishReason, const CompletionUsage&);
+std::string completionBody(const CompletionIdentity&, const std::vector<Token>&, FinishReason, const CompletionUsage&);
 
 // The error that a caller gets for a generation that was given up.
-JsonError refusalOf(const GenerationError&, Milliseconds retryAfter);
+JsonError errorForCaller(const GenerationError&, Milliseconds retryAfter);
 
 } // namespace lupinknot::internal
--- a/src/daemon/CompletionReply.cpp
+++ b/src/daemon/CompletionReply.cpp
@@ -31,7 +31,7 @@
 
 void CompletionReply::start()
 {
-    m_exchange->onGone([self = shared_from_this()] { self->callerGone(); });
+    m_exchange->onGone([self = shared_from_this()] { self->callerDisconnected(); });
     m_generation->attach(shared_from_this());
 }
 
@@ -53,7 +53,7 @@
     HttpBodyPiece piece { tokenEvents(identity(), m_position, slice.tokens), false };
     m_position += slice.tokens.size();
     if (slice.error) {
-        const auto refusal = refusalOf(*slice.error, m_context.settings.generation.retryAfter);
+        const auto refusal = errorForCaller(*slice.error, m_context.settings.generation.retryAfter);
         piece.bytes.append(errorEvent(refusal));
         m_context.metrics.countRefusal(refusal.outcome);
     } else if (slice.finishReason) {
@@ -78,16 +78,16 @@
     if (slice.error && hasNothing)
         refuse(*slice.error);
     else if (!m_options.wantsStream && slice.finishReason)
-        answerWhole(slice);
+        respondWithCompleteAnswer(slice);
     else if (m_options.wantsStream && (!slice.tokens.empty() || slice.finishReason))
         beginStream();
 }
 
-void CompletionReply::answerWhole(const GenerationSlice& slice)
+void CompletionReply::respondWithCompleteAnswer(const GenerationSlice& slice)
 {
     HttpResponse response;
     response.headers.add("Content-Type", "application/json");
-    response.body = wholeCompletion(identity(), slice.tokens, *slice.finishReason, usage(slice.tokens.size()));
+    response.body = completionBody(identity(), slice.tokens, *slice.finishReason, usage(slice.tokens.size()));
     m_exchange->respond(std::move(response));
     finish(statusOk);
 }
@@ -103,7 +103,7 @@
 
 void CompletionReply::refuse(const GenerationError& error)
 {
-    const auto refusal = refusalOf(error, m_context.settings.generation.retryAfter);
+    const auto refusal = errorForCaller(error, m_context.settings.generation.retryAfter);
     m_context.metrics.countRefusal(refusal.outcome);
     m_exchange->respond(errorResponse(refusal));
     finish(refusal.status);
@@ -116,7 +116,7 @@
     m_generation->detach(*this);
 }
 
-void CompletionReply::callerGone()
+void CompletionReply::callerDisconnected()
 {
     const std::lock_guard lock(m_mutex);
     if (m_isAnswered)
--- a/src/daemon/CompletionReply.h
+++ b/src/daemon/CompletionReply.h
@@ -40,11 +40,11 @@
 
 private:
     void advance();
-    void answerWhole(const GenerationSlice&);
+    void respondWithCompleteAnswer(const GenerationSlice&);
     void beginStream();
     void refuse(const GenerationError&);
     void finish(unsigned status);
-    void callerGone();
+    void callerDisconnected();
     CompletionIdentity identity() const;
     CompletionUsage usage(std::size_t completionTokens) const;
 
--- a/src/daemon/CompletionRequest.cpp
+++ b/src/daemon/CompletionRequest.cpp
@@ -18,20 +18,20 @@
 constexpr std::size_t maxStops = 4;
 constexpr std::size_t maxStopBytes = 256;
 constexpr std::size_t maxKeyBytes = 255;
-constexpr std::int64_t longestTimeLimit = 86400000;
+constexpr std::int64_t maxTimeLimitMs = 86400000;
 constexpr std::string_view defaultOrganisation = "default";
 
 constexpr std::array<std::string_view, 7> samplingFields { "temperature", "top_p", "top_k", "presence_penalty",
     "frequency_penalty", "logit_bias", "user" };
-constexpr std::array<std::string_view, 6> ownFields { "model", "prompt", "max_tokens", "stream", "stop", "seed" };
+constexpr std::array<std::string_view, 6> parsedFields { "model", "prompt", "max_tokens", "stream", "stop", "seed" };
 
-leaf::error_id badField(std::string field, std::string message)
+leaf::error_id invalidField(std::string field, std::string message)
 {
     return leaf::new_error(
         JsonError { 400, "invalid_request", std::move(message), std::move(field), RunOutcome::NotRun, {} });
 }
 
-std::string found(const json& value) { return "; found a value of type " + std::string(value.type_name()); }
+std::string foundType(const json& value) { return "; found a value of type " + std::string(value.type_name()); }
 
 template <std::size_t count> bool contains(const std::array<std::string_view, count>& names, std::string_view name)
 {
@@ -43,18 +43,18 @@
     try {
         auto parsed = json::parse(body);
         if (!parsed.is_object())
-            return badField("body", "expected a JSON object" + found(parsed));
+            return invalidField("body", "expected a JSON object" + foundType(parsed));
         return parsed;
     } catch (const json::exception& error) {
-        return badField("body", "expected JSON in UTF-8; " + std::string(error.what()));
+        return invalidField("body", "expected JSON in UTF-8; " + std::string(error.what()));
     }
 }
 
-leaf::result<void> checkNames(const json& body)
+leaf::result<void> checkFieldNames(const json& body)
 {
     for (const auto& entry : body.items()) {
-        if (!contains(ownFields, entry.key()) && !contains(samplingFields, entry.key()))
-            return badField(entry.key(), "this field is not supported");
+        if (!contains(parsedFields, entry.key()) && !contains(samplingFields, entry.key()))
+            return invalidField(entry.key(), "this field is not supported");
     }
     return {};
 }
@@ -63,8 +63,8 @@
 {
     const auto model = body.find("model");
     if (model == body.end() || !model->is_string() || model->get_ref<const std::string&>().empty())
-        return badField(
-            "model", "expected the name of a model" + (model == body.end() ? "; found none" : found(*model)));
+        return invalidField(
+            "model", "expected the name of a model" + (model == body.end() ? "; found none" : foundType(*model)));
     return model->get<std::string>();
 }
 
@@ -75,8 +75,9 @@
         const bool isId
             = element.is_number_unsigned() && element.get<std::uint64_t>() <= std::numeric_limits<TokenId>::max();
         if (!isId)
-            return badField("prompt",
-                "expected a text or a list of token ids, each a whole number from 0 to 2147483647" + found(element));
+            return invalidField("prompt",
+                "expected a text or a list of token ids, each a whole number from 0 to 2147483647"
+                    + foundType(element));
         ids.push_back(element.get<TokenId>());
     }
     return ids;
@@ -86,13 +87,13 @@
 {
     const auto prompt = body.find("prompt");
     if (prompt == body.end())
-        return badField("prompt", "expected a text or a list of token ids; found none");
+        return invalidField("prompt", "expected a text or a list of token ids; found none");
     if (prompt->empty() || (prompt->is_string() && prompt->get_ref<const std::string&>().empty()))
-        return badField("prompt", "expected a prompt that is not empty");
+        return invalidField("prompt", "expected a prompt that is not empty");
     if (prompt->is_string())
         return Prompt(prompt->get<std::string>());
     if (!prompt->is_array())
-        return badField("prompt", "expected a text or a list of token ids" + found(*prompt));
+        return invalidField("prompt", "expected a text or a list of token ids" + foundType(*prompt));
     BOOST_LEAF_AUTO(ids, parseTokenIds(*prompt));
     return Prompt(std::move(ids));
 }
@@ -104,11 +105,11 @@
         return GenerationLimits {}.maxTokens;
     const auto range = "expected a whole number from 1 to " + std::to_string(highest);
     if (!maxTokens->is_number_integer())
-        return badField("max_tokens", range + found(*maxTokens));
+        return invalidField("max_tokens", range + foundType(*maxTokens));
     const auto isUnsigned = maxTokens->is_number_unsigned();
     const auto tooLarge = isUnsigned && maxTokens->get<std::uint64_t>() > static_cast<std::uint64_t>(highest);
     if (tooLarge || maxTokens->get<std::int64_t>() < 1)
-        return badField("max_tokens", range + "; found " + maxTokens->dump());
+        return invalidField("max_tokens", range + "; found " + maxTokens->dump());
     return maxTokens->get<std::size_t>();
 }
 
@@ -121,13 +122,13 @@
         + std::to_string(maxStopBytes) + " bytes";
     const auto list = stop->is_array() ? *stop : json::array({ *stop });
     if (list.size() > maxStops)
-        return badField("stop", expected + "; found " + std::to_string(list.size()));
+        return invalidField("stop", expected + "; found " + std::to_string(list.size()));
     std::vector<std::string> stops;
     for (const auto& element : list) {
         const auto isText = element.is_string() && !element.get_ref<const std::string&>().empty()
             && element.get_ref<const std::string&>().size() <= maxStopBytes;
         if (!isText)
-            return badField("stop", expected + found(element));
+            return invalidField("stop", expected + foundType(element));
         stops.push_back(element.get<std::string>());
     }
     return stops;
@@ -139,7 +140,7 @@
     if (stream == body.end() || stream->is_null())
         return false;
     if (!stream->is_boolean())
-        return badField("stream", "expected true or false" + found(*stream));
+        return invalidField("stream", "expected true or false" + foundType(*stream));
     return stream->get<bool>();
 }
 
@@ -149,7 +150,7 @@
     if (seed == body.end() || seed->is_null())
         return std::optional<std::int64_t> {};
     if (!seed->is_number_integer())
-        return badField("seed", "expected a whole number" + found(*seed));
+        return invalidField("seed", "expected a whole number" + foundType(*seed));
     return std::optional<std::int64_t>(seed->get<std::int64_t>());
 }
 
@@ -170,7 +171,7 @@
         return true;
     if (*value == "false")
         return false;
-    return badField("Lupinknot-Repeatable", "expected true or false; found \"" + std::string(*value) + "\"");
+    return invalidField("Lupinknot-Repeatable", "expected true or false; found \"" + std::string(*value) + "\"");
 }
 
 leaf::result<Milliseconds> parseTimeLimit(const HttpHeaders& headers, Milliseconds defaultLimit)
@@ -179,9 +180,9 @@
     if (!value)
         return defaultLimit;
     const auto number = parseNumber<std::int64_t>(*value);
-    if (!number || *number < 1 || *number > longestTimeLimit)
-        return badField("Lupinknot-Deadline-Ms",
-            "expected a whole number from 1 to " + std::to_string(longestTimeLimit) + "; found \"" + std::string(*value)
+    if (!number || *number < 1 || *number > maxTimeLimitMs)
+        return invalidField("Lupinknot-Deadline-Ms",
+            "expected a whole number from 1 to " + std::to_string(maxTimeLimitMs) + "; found \"" + std::string(*value)
                 + "\"");
     return Milliseconds { *number };
 }
@@ -192,7 +193,7 @@
     if (!value)
         return std::string {};
     if (value->empty() || value->size() > maxKeyBytes)
-        return badField("Idempotency-Key",
+        return invalidField("Idempotency-Key",
             "expected 1 to " + std::to_string(maxKeyBytes) + " bytes; found " + std::to_string(value->size()));
     return std::string(*value);
 }
@@ -206,10 +207,10 @@
     const auto position
         = colon == std::string_view::npos ? std::nullopt : parseNumber<std::size_t>(value->substr(colon + 1));
     if (!position)
-        return badField("Last-Event-ID",
+        return invalidField("Last-Event-ID",
             "expected the id of an event, <generation>:<position>; found \"" + std::string(*value) + "\"");
     if (request.idempotencyKey.empty())
-        return badField("Idempotency-Key",
+        return invalidField("Idempotency-Key",
             "expected the key of the request whose answer is to go on; found none beside Last-Event-ID");
     request.resumeGeneration = value->substr(0, colon);
     request.resumePosition = *position;
@@ -242,7 +243,7 @@
     CompletionRequest request;
     BOOST_LEAF_CHECK(parseHeaders(message.headers, limits, request));
     BOOST_LEAF_AUTO(body, parseBody(message.body));
-    BOOST_LEAF_CHECK(checkNames(body));
+    BOOST_LEAF_CHECK(checkFieldNames(body));
     BOOST_LEAF_ASSIGN(request.model, parseModel(body));
     BOOST_LEAF_ASSIGN(request.prompt, parsePrompt(body));
     BOOST_LEAF_ASSIGN(request.limits.maxTokens, parseMaxTokens(body, limits.maxTokens));
--- a/src/daemon/Daemon.cpp
+++ b/src/daemon/Daemon.cpp
@@ -28,7 +28,7 @@
 constexpr Milliseconds progressPollInterval { 20 };
 constexpr Milliseconds retryAfterStop { 1000 };
 
-std::uint64_t drawIncarnation()
+std::uint64_t randomIncarnation()
 {
     std::random_device source;
     return source();
@@ -45,7 +45,7 @@
 
 Daemon::Daemon(DaemonSettings settings)
     : m_settings(std::move(settings))
-    , m_incarnation(drawIncarnation())
+    , m_incarnation(randomIncarnation())
     , m_clock(std::make_unique<MonotonicClock>())
     , m_work(boost::asio::make_work_guard(m_ioContext))
     , m_sweepTimer(m_ioContext)
--- a/src/daemon/EndpointState.cpp
+++ b/src/daemon/EndpointState.cpp
@@ -8,7 +8,7 @@
     : m_settings(std::move(settings))
     , m_ejection(ejection)
     , m_pulse(std::make_shared<EndpointPulse>(pulse))
-    , m_nextEjection(ejection.initial)
+    , m_nextEjectionDuration(ejection.initial)
 {
 }
 
@@ -21,40 +21,40 @@
 {
     --m_inFlight;
     const std::lock_guard lock(m_mutex);
-    m_isProbed = false;
+    m_isProbeInProgress = false;
     if (!failure) {
-        m_nextEjection = m_ejection.initial;
+        m_nextEjectionDuration = m_ejection.initial;
         return;
     }
     // All streams of a dead endpoint fail together, so only the first failure within an ejection counts.
     if (!traitsOf(*failure).blamesEndpoint || now < m_ejectedUntil)
         return;
-    m_ejectedUntil = now + m_nextEjection;
-    m_nextEjection = std::min(2 * m_nextEjection, m_ejection.longest);
+    m_ejectedUntil = now + m_nextEjectionDuration;
+    m_nextEjectionDuration = std::min(2 * m_nextEjectionDuration, m_ejection.longest);
 }
 
 void EndpointState::noteAlive()
 {
     const std::lock_guard lock(m_mutex);
-    m_isProbed = false;
+    m_isProbeInProgress = false;
     m_ejectedUntil = Milliseconds::zero();
 }
 
-bool EndpointState::takeProbe(Milliseconds now)
+bool EndpointState::reserveProbe(Milliseconds now)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_listing != EndpointListing::Live || m_isProbed || now >= m_ejectedUntil)
+    if (m_listing != EndpointListing::Live || m_isProbeInProgress || now >= m_ejectedUntil)
         return false;
-    m_isProbed = true;
+    m_isProbeInProgress = true;
     return true;
 }
 
 bool EndpointState::isEligible(Milliseconds now) const
 {
-    return m_listing == EndpointListing::Live && ejectedFor(now) <= Milliseconds::zero();
+    return m_listing == EndpointListing::Live && ejectionTimeLeft(now) <= Milliseconds::zero();
 }
 
-Milliseconds EndpointState::ejectedFor(Milliseconds now) const
+Milliseconds EndpointState::ejectionTimeLeft(Milliseconds now) const
 {
     const std::lock_guard lock(m_mutex);
     return m_ejectedUntil - now;
--- a/src/daemon/EndpointState.h
+++ b/src/daemon/EndpointState.h
@@ -44,9 +44,9 @@
     // Reserves the probe, the one request that an ejected endpoint may get before its ejection ends, to find out
     // whether it works again. Returns false when a probe is in progress, the endpoint is shutting down, or it is not
     // ejected. The caller must call workStarted().
-    bool takeProbe(Milliseconds now);
+    bool reserveProbe(Milliseconds now);
     // Time left of the ejection; zero or less when the endpoint is not ejected.
-    Milliseconds ejectedFor(Milliseconds now) const;
+    Milliseconds ejectionTimeLeft(Milliseconds now) const;
 
     EndpointListing listing() const { return m_listing; }
     void setListing(EndpointListing listing) { m_listing = listing; }
@@ -60,8 +60,8 @@
     mutable std::mutex m_mutex;
     // The members below are guarded by the lock.
     Milliseconds m_ejectedUntil { 0 };
-    Milliseconds m_nextEjection;
-    bool m_isProbed { false };
+    Milliseconds m_nextEjectionDuration;
+    bool m_isProbeInProgress { false };
 };
 
 } // namespace lupinknot::internal
--- a/src/daemon/EndpointTable.cpp
+++ b/src/daemon/EndpointTable.cpp
@@ -88,7 +88,7 @@
 std::shared_ptr<EndpointState> EndpointTable::probe(const Endpoints& candidates, const RouteQuery& query) const
 {
     for (const auto& candidate : candidates) {
-        if (isAvoided(*candidate, query) || !candidate->takeProbe(m_clock.now()))
+        if (isAvoided(*candidate, query) || !candidate->reserveProbe(m_clock.now()))
             continue;
         logInfo(LogPart::Route,
             query.subject + " probes " + candidate->settings().name + ": none of " + std::to_string(candidates.size())
--- a/src/daemon/EngineAttempt.cpp
+++ b/src/daemon/EngineAttempt.cpp
@@ -43,9 +43,9 @@
     if (status == statusOk)
         m_generation->attemptAccepted(m_number);
     else if (m_attaches && status == statusNotFound)
-        fail(FailureKind::StreamGone);
+        reportFailure(FailureKind::StreamGone);
     else
-        fail(failureOfStatus(status));
+        reportFailure(failureOfStatus(status));
 }
 
 void EngineAttempt::bodyArrived(std::string_view piece)
@@ -57,26 +57,26 @@
     for (const auto& event : events) {
         auto parsed = parseEngineEvent(event.data);
         if (!parsed) {
-            fail(FailureKind::MalformedEvent);
+            reportFailure(FailureKind::MalformedEvent);
             return;
         }
-        take(std::move(*parsed));
+        handleEvent(std::move(*parsed));
         if (m_isOver)
             return;
     }
     if (!isReadable)
-        fail(FailureKind::MalformedEvent);
+        reportFailure(FailureKind::MalformedEvent);
 }
 
-void EngineAttempt::ended() { fail(FailureKind::EarlyEnd); }
+void EngineAttempt::ended() { reportFailure(FailureKind::EarlyEnd); }
 
 void EngineAttempt::failed(HttpCallFailure failure, const std::string&)
 {
     const bool isRefused = failure == HttpCallFailure::NotConnected;
-    fail(isRefused ? FailureKind::ConnectionRefused : FailureKind::ConnectionLost);
+    reportFailure(isRefused ? FailureKind::ConnectionRefused : FailureKind::ConnectionLost);
 }
 
-void EngineAttempt::take(EngineEvent event)
+void EngineAttempt::handleEvent(EngineEvent event)
 {
     if (!event.promptIds.empty())
         m_generation->promptIdsKnown(m_number, std::move(event.promptIds));
@@ -91,11 +91,11 @@
         m_generation->attemptFinished(m_number, m_nextPosition, *event.finishReason);
         m_isOver = true;
     } else if (event.isDone) {
-        fail(FailureKind::EarlyEnd);
+        reportFailure(FailureKind::EarlyEnd);
     }
 }
 
-void EngineAttempt::fail(FailureKind failure)
+void EngineAttempt::reportFailure(FailureKind failure)
 {
     if (m_isOver)
         return;
--- a/src/daemon/EngineAttempt.h
+++ b/src/daemon/EngineAttempt.h
@@ -35,8 +35,8 @@
     void failed(HttpCallFailure, const std::string& message) override;
 
 private:
-    void take(EngineEvent);
-    void fail(FailureKind);
+    void handleEvent(EngineEvent);
+    void reportFailure(FailureKind);
 
     const std::shared_ptr<LiveGeneration> m_generation;
     const AttemptNumber m_number;
--- a/src/daemon/EngineProtocol.cpp
+++ b/src/daemon/EngineProtocol.cpp
@@ -63,7 +63,7 @@
 } // namespace
 
 HttpRequest engineRequest(
-    const CompletionRequest& request, const EngineStreamName& stream, const std::optional<EnginePrefix>& prefix)
+    const CompletionRequest& request, const EngineStreamOptions& stream, const std::optional<EnginePrefix>& prefix)
 {
     auto body = json::parse(request.sampling);
     body["model"] = request.model;
--- a/src/daemon/EngineProtocol.h
+++ b/src/daemon/EngineProtocol.h
@@ -28,14 +28,14 @@
     std::vector<TokenId> generatedIds;
 };
 
-struct EngineStreamName {
+struct EngineStreamOptions {
     std::string id;
     // How long the engine continues after the connection is lost, so that another VM can attach to the stream.
     Milliseconds keepOnDisconnect { 0 };
 };
 
 // Makes the request of one attempt. Without a prefix, the prompt is sent as the caller sent it.
-HttpRequest engineRequest(const CompletionRequest&, const EngineStreamName&, const std::optional<EnginePrefix>&);
+HttpRequest engineRequest(const CompletionRequest&, const EngineStreamOptions&, const std::optional<EnginePrefix>&);
 
 // Parses the data of one event. Returns nothing when it is malformed.
 std::optional<EngineEvent> parseEngineEvent(const std::string& data);
--- a/src/daemon/ForwardedRequest.cpp
+++ b/src/daemon/ForwardedRequest.cpp
@@ -29,7 +29,7 @@
 
 void ForwardedRequest::start(const SocketAddress& address, unsigned hops)
 {
-    m_exchange->onGone([self = shared_from_this()] { self->callerGone(); });
+    m_exchange->onGone([self = shared_from_this()] { self->callerDisconnected(); });
     const auto& incoming = m_exchange->request();
     HttpRequest outgoing { incoming.method, incoming.target, {}, incoming.body };
     const auto kept = incoming.headers.endToEnd();
@@ -41,7 +41,7 @@
     {
         const std::lock_guard lock(m_mutex);
         // The caller can disconnect before the call starts.
-        if (m_isCallerGone)
+        if (m_isCallerDisconnected)
             return;
         m_call = m_context.calls.start(address, outgoing, callTimeout, shared_from_this());
     }
@@ -60,7 +60,7 @@
 void ForwardedRequest::bodyArrived(std::string_view piece)
 {
     const std::lock_guard lock(m_mutex);
-    m_bytes.append(piece);
+    m_unsentBytes.append(piece);
     if (m_isStream)
         m_exchange->wake();
 }
@@ -73,7 +73,7 @@
         m_exchange->wake();
         return;
     }
-    m_response.body = std::move(m_bytes);
+    m_response.body = std::move(m_unsentBytes);
     m_exchange->respond(std::move(m_response));
 }
 
@@ -86,14 +86,14 @@
         m_exchange->abort();
         return;
     }
-    if (!m_isCallerGone)
+    if (!m_isCallerDisconnected)
         m_onLost();
 }
 
 HttpBodyPiece ForwardedRequest::next()
 {
     const std::lock_guard lock(m_mutex);
-    return { std::exchange(m_bytes, {}), m_isEnded };
+    return { std::exchange(m_unsentBytes, {}), m_isEnded };
 }
 
 void ForwardedRequest::peerLost()
@@ -105,10 +105,10 @@
     cancelCall();
 }
 
-void ForwardedRequest::callerGone()
+void ForwardedRequest::callerDisconnected()
 {
     const std::lock_guard lock(m_mutex);
-    m_isCallerGone = true;
+    m_isCallerDisconnected = true;
     cancelCall();
 }
 
--- a/src/daemon/ForwardedRequest.h
+++ b/src/daemon/ForwardedRequest.h
@@ -44,7 +44,7 @@
     void peerLost() override;
 
 private:
-    void callerGone();
+    void callerDisconnected();
     void cancelCall();
 
     const GenerationContext m_context;
@@ -57,10 +57,10 @@
     // The response, if it is not streamed; it is passed on when it is complete.
     HttpResponse m_response;
     bool m_isStream { false };
-    std::string m_bytes;
+    std::string m_unsentBytes;
     bool m_isEnded { false };
     bool m_isPeerLost { false };
-    bool m_isCallerGone { false };
+    bool m_isCallerDisconnected { false };
 };
 
 } // namespace lupinknot::internal
--- a/src/daemon/GenerationRegistry.cpp
+++ b/src/daemon/GenerationRegistry.cpp
@@ -75,9 +75,9 @@
     const auto entry = shard.byKey.find(key);
     if (entry == shard.byKey.end())
         return nullptr;
-    if (!entry->second->isVoid())
+    if (!entry->second->isKeyReusable())
         return entry->second;
-    entry->second->forget();
+    entry->second->detachJournal();
     shard.byKey.erase(entry);
     --m_heldCount;
     return nullptr;
@@ -117,7 +117,7 @@
                 ++entry;
                 continue;
             }
-            entry->second->forget();
+            entry->second->detachJournal();
             entry = shard.byKey.erase(entry);
             --m_heldCount;
         }
--- a/src/daemon/JournalLink.cpp
+++ b/src/daemon/JournalLink.cpp
@@ -20,7 +20,7 @@
     if (m_isClosed)
         return;
     m_streams[source.get()] = { source, ++m_lastHandle, {}, true };
-    m_dirty.push_back(source.get());
+    m_changed.push_back(source.get());
     scheduleFlush();
 }
 
@@ -28,10 +28,10 @@
 {
     const std::lock_guard lock(m_mutex);
     const auto stream = m_streams.find(source);
-    if (stream == m_streams.end() || stream->second.isDirty)
+    if (stream == m_streams.end() || stream->second.isChanged)
         return;
-    stream->second.isDirty = true;
-    m_dirty.push_back(source);
+    stream->second.isChanged = true;
+    m_changed.push_back(source);
     scheduleFlush();
 }
 
@@ -51,12 +51,12 @@
     std::vector<Pending> covered;
     {
         const std::lock_guard lock(m_mutex);
-        if (ack.number() != m_lastBatch || !m_isBatchOut)
+        if (ack.number() != m_lastBatch || !m_isBatchInFlight)
             return;
-        m_isBatchOut = false;
-        covered = std::move(m_outstanding);
-        m_outstanding.clear();
-        if (!m_dirty.empty() || !m_dropped.empty())
+        m_isBatchInFlight = false;
+        covered = std::move(m_batchInFlight);
+        m_batchInFlight.clear();
+        if (!m_changed.empty() || !m_dropped.empty())
             scheduleFlush();
     }
     for (const auto& pending : covered) {
@@ -78,13 +78,13 @@
     for (auto& entry : m_streams)
         sources.push_back(std::move(entry.second.source));
     m_streams.clear();
-    m_outstanding.clear();
+    m_batchInFlight.clear();
     return sources;
 }
 
 void JournalLink::scheduleFlush()
 {
-    if (m_isFlushScheduled || m_isBatchOut || m_isClosed)
+    if (m_isFlushScheduled || m_isBatchInFlight || m_isClosed)
         return;
     m_isFlushScheduled = true;
     m_timer.expires_after(m_flushInterval);
@@ -100,7 +100,7 @@
     wire::Envelope envelope;
     auto& batch = *envelope.mutable_journal();
     batch.set_epoch(m_epoch);
-    auto pending = takeDirty(batch);
+    auto pending = collectChanges(batch);
     // Sources are called without the journal's lock, because generations call the journal under their own lock.
     for (auto& stream : pending) {
         auto& item = *batch.add_items();
@@ -113,20 +113,20 @@
     }
     const std::lock_guard lock(m_mutex);
     m_isFlushScheduled = false;
-    const bool hasNews = batch.items_size() || batch.token_handles_size();
-    if (m_isClosed || !hasNews)
+    const bool hasChanges = batch.items_size() || batch.token_handles_size();
+    if (m_isClosed || !hasChanges)
         return;
     for (const auto& stream : pending) {
         if (const auto entry = m_streams.find(stream.key); entry != m_streams.end())
             entry->second.sent = stream.cursor;
     }
     batch.set_number(++m_lastBatch);
-    m_outstanding = std::move(pending);
-    m_isBatchOut = true;
+    m_batchInFlight = std::move(pending);
+    m_isBatchInFlight = true;
     m_send(envelope);
 }
 
-std::vector<JournalLink::Pending> JournalLink::takeDirty(wire::JournalBatch& batch)
+std::vector<JournalLink::Pending> JournalLink::collectChanges(wire::JournalBatch& batch)
 {
     const std::lock_guard lock(m_mutex);
     // A dropped key may be opened again in the same batch, so the drops are applied first.
@@ -137,14 +137,14 @@
     }
     m_dropped.clear();
     std::vector<Pending> pending;
-    for (const auto* key : m_dirty) {
+    for (const auto* key : m_changed) {
         const auto entry = m_streams.find(key);
         if (entry == m_streams.end())
             continue;
-        entry->second.isDirty = false;
+        entry->second.isChanged = false;
         pending.push_back({ key, entry->second.source, entry->second.handle, entry->second.sent });
     }
-    m_dirty.clear();
+    m_changed.clear();
     return pending;
 }
 
--- a/src/daemon/JournalLink.h
+++ b/src/daemon/JournalLink.h
@@ -43,7 +43,7 @@
         std::shared_ptr<JournalSource> source;
         std::uint32_t handle { 0 };
         JournalCursor sent;
-        bool isDirty { false };
+        bool isChanged { false };
     };
 
     struct Pending {
@@ -56,7 +56,7 @@
     void scheduleFlush();
     void flush();
     // Adds the dropped streams to the batch, and returns the streams that have changed.
-    std::vector<Pending> takeDirty(wire::JournalBatch&);
+    std::vector<Pending> collectChanges(wire::JournalBatch&);
 
     const std::uint64_t m_epoch;
     const Milliseconds m_flushInterval;
@@ -67,13 +67,13 @@
     // The members below are guarded by the lock.
     boost::asio::steady_timer m_timer;
     std::unordered_map<const JournalSource*, Stream> m_streams;
-    std::vector<const JournalSource*> m_dirty;
+    std::vector<const JournalSource*> m_changed;
     std::vector<std::uint32_t> m_dropped;
     // The contents of the batch in flight; empty when there is none.
-    std::vector<Pending> m_outstanding;
+    std::vector<Pending> m_batchInFlight;
     std::uint64_t m_lastBatch { 0 };
     std::uint32_t m_lastHandle { 0 };
-    bool m_isBatchOut { false };
+    bool m_isBatchInFlight { false };
     bool m_isFlushScheduled { false };
     bool m_isClosed { false };
 };
--- a/src/daemon/JournalTokens.cpp
+++ b/src/daemon/JournalTokens.cpp
@@ -17,7 +17,7 @@
     return entry != m_texts.end() && entry->second == token.text;
 }
 
-void TokenTexts::note(const Token& token)
+void TokenTexts::storeText(const Token& token)
 {
     const auto entry = m_texts.find(token.id);
     if (entry != m_texts.end())
@@ -43,13 +43,13 @@
             batch.add_text_lengths(knownText);
             continue;
         }
-        texts.note(*token);
+        texts.storeText(*token);
         batch.add_text_lengths(static_cast<std::uint32_t>(token->text.size()) + 1);
         batch.mutable_texts()->append(token->text);
     }
 }
 
-bool readTokens(const wire::JournalBatch& batch, TokenTexts& texts, const TakeTokens& take)
+bool readTokens(const wire::JournalBatch& batch, TokenTexts& texts, const TokensCallback& take)
 {
     if (batch.token_handles_size() != batch.token_counts_size() || batch.token_ids_size() != batch.text_lengths_size())
         return false;
@@ -70,7 +70,7 @@
                 return false;
             tokens.push_back({ id, batch.texts().substr(textOffset, length - 1) });
             textOffset += length - 1;
-            texts.note(tokens.back());
+            texts.storeText(tokens.back());
         }
         take(batch.token_handles(stream), std::move(tokens));
     }
--- a/src/daemon/JournalTokens.h
+++ b/src/daemon/JournalTokens.h
@@ -21,7 +21,7 @@
     // Returns true when this is the last text of the token's id.
     bool isKnown(const Token&) const;
     // Stores a text. Ids that are not in the table are ignored when it is full.
-    void note(const Token&);
+    void storeText(const Token&);
     // The last text of an id; empty when there is none.
     std::string textOf(TokenId) const;
 
@@ -36,7 +36,7 @@
 void addTokens(wire::JournalBatch&, TokenTexts&, std::uint32_t handle, const Token* first, std::size_t count);
 
 // Calls the function with each stream's tokens in a batch. Returns false when the columns are inconsistent.
-using TakeTokens = std::function<void(std::uint32_t handle, std::vector<Token>)>;
-bool readTokens(const wire::JournalBatch&, TokenTexts&, const TakeTokens&);
+using TokensCallback = std::function<void(std::uint32_t handle, std::vector<Token>)>;
+bool readTokens(const wire::JournalBatch&, TokenTexts&, const TokensCallback&);
 
 } // namespace lupinknot::internal
--- a/src/daemon/KeyedRequestRouter.cpp
+++ b/src/daemon/KeyedRequestRouter.cpp
@@ -42,17 +42,17 @@
 void KeyedRequestRouter::tryRoute(const std::shared_ptr<HttpExchange>& exchange, const std::string& key,
     const KeyedRequestActions& actions, unsigned tries) const
 {
-    if (actions.isHere()) {
+    if (actions.isRunningHere()) {
         actions.serve();
         return;
     }
     const bool isForwarded = hopsOf(exchange->request()) > 0;
     m_context.cluster.place(key, isForwarded, [this, exchange, key, actions, tries](const KeyPlacement& placement) {
-        placed(exchange, key, actions, tries, placement);
+        handlePlacement(exchange, key, actions, tries, placement);
     });
 }
 
-void KeyedRequestRouter::placed(const std::shared_ptr<HttpExchange>& exchange, const std::string& key,
+void KeyedRequestRouter::handlePlacement(const std::shared_ptr<HttpExchange>& exchange, const std::string& key,
     const KeyedRequestActions& actions, unsigned tries, const KeyPlacement& placement) const
 {
     using Kind = KeyPlacement::Kind;
--- a/src/daemon/KeyedRequestRouter.h
+++ b/src/daemon/KeyedRequestRouter.h
@@ -17,7 +17,7 @@
 // called, once, on any thread.
 struct KeyedRequestActions {
     // Returns true when this VM already runs the key.
-    std::function<bool()> isHere;
+    std::function<bool()> isRunningHere;
     // Serves the request on this VM.
     std::function<void()> serve;
     // Takes the key over from a lost VM.
@@ -35,7 +35,7 @@
 private:
     void tryRoute(
         const std::shared_ptr<HttpExchange>&, const std::string& key, const KeyedRequestActions&, unsigned tries) const;
-    void placed(const std::shared_ptr<HttpExchange>&, const std::string& key, const KeyedRequestActions&,
+    void handlePlacement(const std::shared_ptr<HttpExchange>&, const std::string& key, const KeyedRequestActions&,
         unsigned tries, const KeyPlacement&) const;
     void forward(const std::shared_ptr<HttpExchange>&, const std::string& key, const KeyedRequestActions&,
         unsigned tries, const PeerIdentity& target) const;
--- a/src/daemon/KeyedServiceCall.cpp
+++ b/src/daemon/KeyedServiceCall.cpp
@@ -43,9 +43,9 @@
         run();
 }
 
-void KeyedServiceCall::startAsUnknown()
+void KeyedServiceCall::completeAsUnknown()
 {
-    if (takeStart())
+    if (claimStart())
         respond(errorResponse({ 502, "may_have_run",
             "the VM that ran the call was lost, and the call must not be repeated", "", RunOutcome::Unknown, {} }));
 }
@@ -65,13 +65,13 @@
     return m_endedAt;
 }
 
-bool KeyedServiceCall::isVoid() const
+bool KeyedServiceCall::isKeyReusable() const
 {
     const std::lock_guard lock(m_mutex);
     return m_response && m_response->headers.find("Lupinknot-Outcome") == nameIn(runOutcomeNames, RunOutcome::NotRun);
 }
 
-void KeyedServiceCall::forget() { m_context.cluster.detach(*this); }
+void KeyedServiceCall::detachJournal() { m_context.cluster.detach(*this); }
 
 void KeyedServiceCall::respond(HttpResponse response)
 {
@@ -104,7 +104,7 @@
         run();
         return;
     }
-    if (takeStart())
+    if (claimStart())
         respond(
             errorResponse({ 503, "not_protected", "no other VM could take note of the call, which must not be repeated",
                 "", RunOutcome::NotRun, m_context.settings.generation.retryAfter }));
@@ -112,18 +112,18 @@
 
 void KeyedServiceCall::journalRefused()
 {
-    if (takeStart())
+    if (claimStart())
         respond(errorResponse({ 503, "taken_over", "another VM runs the call; ask again with the same Idempotency-Key",
             "", RunOutcome::NotRun, m_context.settings.generation.retryAfter }));
 }
 
 void KeyedServiceCall::run()
 {
-    if (takeStart())
+    if (claimStart())
         std::make_shared<ServiceCall>(m_context, m_service, shared_from_this(), m_repeatable)->start();
 }
 
-bool KeyedServiceCall::takeStart()
+bool KeyedServiceCall::claimStart()
 {
     const std::lock_guard lock(m_mutex);
     const bool isFirst = !m_isStarted;
--- a/src/daemon/KeyedServiceCall.h
+++ b/src/daemon/KeyedServiceCall.h
@@ -34,13 +34,13 @@
 
     void start();
     // Responds without a run, because the work may have run on a VM that was lost.
-    void startAsUnknown();
+    void completeAsUnknown();
     // Sends the response to one more caller, now or as soon as it exists.
     void join(const std::shared_ptr<HttpExchange>&);
     std::optional<Milliseconds> endedAt() const;
     // True when the call was refused as not run: its key may be used again.
-    bool isVoid() const;
-    void forget();
+    bool isKeyReusable() const;
+    void detachJournal();
 
     // HttpExchange, as the ServiceCall sees it.
     const HttpRequest& request() const override { return m_request; }
@@ -60,7 +60,7 @@
 private:
     void run();
     // Returns true on the first call only.
-    bool takeStart();
+    bool claimStart();
 
     const GenerationContext m_context;
     const ServiceSettings& m_service;
--- a/src/daemon/LiveGeneration.cpp
+++ b/src/daemon/LiveGeneration.cpp
@@ -22,20 +22,20 @@
 constexpr Milliseconds callTimeout { 86400000 };
 
 constexpr Milliseconds stopTimeout { 2000 };
-// A timer that fires later than ownPauseLimit shows that this VM was paused; its streams then get pauseExcuse more time
-// before they count as silent.
-constexpr Milliseconds ownPauseLimit { 100 };
-constexpr Milliseconds pauseExcuse { 100 };
+// A timer that fires later than pauseThreshold shows that this VM was paused; its streams then get graceAfterPause more
+// time before they count as silent.
+constexpr Milliseconds pauseThreshold { 100 };
+constexpr Milliseconds graceAfterPause { 100 };
 // Separates the generation from its number of takeovers in an id.
-constexpr char takeoverMark = '~';
+constexpr char takeoverSeparator = '~';
 
-std::string baseOf(const std::string& id) { return id.substr(0, id.find(takeoverMark)); }
+std::string idWithoutTakeovers(const std::string& id) { return id.substr(0, id.find(takeoverSeparator)); }
 
-std::string nextId(const std::string& id)
+std::string idAfterTakeover(const std::string& id)
 {
-    const auto mark = id.find(takeoverMark);
-    const auto takeovers = mark == std::string::npos ? 0 : std::strtoul(id.c_str() + mark + 1, nullptr, 10);
-    return baseOf(id) + takeoverMark + std::to_string(takeovers + 1);
+    const auto separator = id.find(takeoverSeparator);
+    const auto takeovers = separator == std::string::npos ? 0 : std::strtoul(id.c_str() + separator + 1, nullptr, 10);
+    return idWithoutTakeovers(id) + takeoverSeparator + std::to_string(takeovers + 1);
 }
 
 GenerationRequest driverRequest(const CompletionRequest& request, Milliseconds now)
@@ -61,7 +61,7 @@
 LiveGeneration::LiveGeneration(const GenerationContext& context, CompletionRequest request, ReplicaRecord record)
     : m_context(context)
     , m_request(std::move(request))
-    , m_id(nextId(record.request.generation))
+    , m_id(idAfterTakeover(record.request.generation))
     , m_key(record.request.key)
     , m_adopted(std::move(record))
     , m_driver(driverRequest(m_request, context.clock.now()), context.settings.recovery, *this)
@@ -89,7 +89,7 @@
     const std::lock_guard lock(m_mutex);
     if (id == m_id)
         return position <= visibleLength();
-    const bool isEarlierRun = m_adopted && baseOf(id) == baseOf(m_id);
+    const bool isEarlierRun = m_adopted && idWithoutTakeovers(id) == idWithoutTakeovers(m_id);
     return isEarlierRun && position <= m_adopted->tokens.size();
 }
 
@@ -117,7 +117,7 @@
     const auto isGone = [&watcher](const std::shared_ptr<GenerationWatcher>& other) { return other.get() == &watcher; };
     m_watchers.erase(std::remove_if(m_watchers.begin(), m_watchers.end(), isGone), m_watchers.end());
     if (m_watchers.empty() && !m_driver.isOver())
-        lastWatcherLeft();
+        lastWatcherDetached();
 }
 
 GenerationSlice LiveGeneration::read(std::size_t position, std::size_t maxTokens) const
@@ -202,11 +202,11 @@
     return m_driver.isOver() && (!mustBeHeld || m_acknowledged.isEnded);
 }
 
-bool LiveGeneration::fillJournal(JournalCursor& cursor, wire::JournalItem& item, std::vector<Token>& news) const
+bool LiveGeneration::fillJournal(JournalCursor& cursor, wire::JournalItem& item, std::vector<Token>& newTokens) const
 {
     const std::lock_guard lock(m_mutex);
     const auto& generation = m_driver.generation();
-    bool hasNews = false;
+    bool hasChanges = false;
     if (!cursor.isOpened) {
         auto& open = *item.mutable_open();
         open.set_generation(m_id);
@@ -216,7 +216,7 @@
         open.set_repeatable(m_request.repeatable);
         open.set_time_left_ms(m_request.timeLimit.count());
         cursor.isOpened = true;
-        hasNews = true;
+        hasChanges = true;
     }
     if (m_journaledAttempt && m_journaledAttempt->number != cursor.attempt) {
         auto& attempt = *item.mutable_attempt();
@@ -225,22 +225,22 @@
         attempt.set_stream(m_journaledAttempt->stream);
         attempt.set_position(m_journaledAttempt->position);
         cursor.attempt = m_journaledAttempt->number;
-        hasNews = true;
+        hasChanges = true;
     }
     const bool isFirst = !cursor.length && generation.length();
     if (isFirst) {
         item.mutable_prompt_ids()->Add(m_promptIds.begin(), m_promptIds.end());
-        hasNews = true;
+        hasChanges = true;
     }
     const auto& tokens = generation.tokens();
-    news.assign(tokens.begin() + static_cast<std::ptrdiff_t>(cursor.length), tokens.end());
+    newTokens.assign(tokens.begin() + static_cast<std::ptrdiff_t>(cursor.length), tokens.end());
     cursor.length = tokens.size();
     if (generation.isEnded() && !cursor.isEnded) {
         item.mutable_end()->set_finish_reason(static_cast<int>(*generation.finishReason()));
         cursor.isEnded = true;
-        hasNews = true;
+        hasChanges = true;
     }
-    return hasNews;
+    return hasChanges;
 }
 
 void LiveGeneration::journalAcknowledged(const JournalCursor& cursor)
@@ -259,9 +259,9 @@
 void LiveGeneration::journalUnprotected()
 {
     const std::lock_guard lock(m_mutex);
-    const bool mayGoOn = m_request.repeatable && m_context.settings.journal.goOnUnprotected;
+    const bool mayContinue = m_request.repeatable && m_context.settings.journal.goOnUnprotected;
     // A generation that has started continues: an answer that could be lost is better for the caller than none.
-    const bool mustStop = !m_driver.isStarted() && !mayGoOn;
+    const bool mustStop = !m_driver.isStarted() && !mayContinue;
     logWarning(LogPart::Journal,
         "generation " + m_id + (mustStop ? " is refused" : " continues without a replica")
             + ": no other VM can be reached.");
@@ -280,9 +280,9 @@
     afterEvent();
 }
 
-void LiveGeneration::forget() { m_context.cluster.detach(*this); }
+void LiveGeneration::detachJournal() { m_context.cluster.detach(*this); }
 
-bool LiveGeneration::isVoid() const
+bool LiveGeneration::isKeyReusable() const
 {
     const std::lock_guard lock(m_mutex);
     const auto& error = m_driver.error();
@@ -300,8 +300,8 @@
 void LiveGeneration::promptIdsKnown(AttemptNumber attempt, std::vector<TokenId> ids)
 {
     const std::lock_guard lock(m_mutex);
-    const bool isNews = attempt == m_driver.generation().currentAttempt() && m_promptIds.empty();
-    if (isNews)
+    const bool areIdsNeeded = attempt == m_driver.generation().currentAttempt() && m_promptIds.empty();
+    if (areIdsNeeded)
         m_promptIds = std::move(ids);
 }
 
@@ -323,7 +323,7 @@
         }
         m_context.metrics.refusedTokens.Increment();
         logInfo(LogPart::Attempt,
-            attemptText(attempt) + ": token refused at position " + std::to_string(position - 1) + ": "
+            attemptDescription(attempt) + ": token refused at position " + std::to_string(position - 1) + ": "
                 + std::string(nameIn(appendResultNames, result)) + ".");
         break;
     }
@@ -347,7 +347,7 @@
 std::optional<EndpointChoice> LiveGeneration::chooseEndpoint(const std::vector<EndpointName>& avoid)
 {
     const auto next = m_driver.generation().currentAttempt() + 1;
-    const auto endpoint = m_context.endpoints.chooseForModel(m_request.model, { attemptText(next), avoid });
+    const auto endpoint = m_context.endpoints.chooseForModel(m_request.model, { attemptDescription(next), avoid });
     if (!endpoint)
         return std::nullopt;
     m_endpoint = endpoint;
@@ -377,8 +377,8 @@
 
 void LiveGeneration::cancelAttempt(AttemptNumber)
 {
-    const bool runsOn = isJournaled() && !m_attempt->isFinished();
-    if (runsOn)
+    const bool mayStillRun = isJournaled() && !m_attempt->isFinished();
+    if (mayStillRun)
         stopStream(m_endpoint->settings(), m_journaledAttempt->stream);
     // Posted, because cancelling may run callbacks of the call that take the lock.
     boost::asio::post(m_context.ioContext, [attempt = std::move(m_attempt)] { attempt->cancel(); });
@@ -393,7 +393,7 @@
         return;
     m_context.metrics.countFailure(*end.failure);
     logWarning(LogPart::Attempt,
-        attemptText(end.number) + " on " + end.endpoint + " failed at position "
+        attemptDescription(end.number) + " on " + end.endpoint + " failed at position "
             + std::to_string(m_driver.generation().length()) + ": " + std::string(traitsOf(*end.failure).name) + ".");
 }
 
@@ -405,7 +405,7 @@
     m_records.back().resumeGap = report.gap;
     m_records.back().resumeAfterDetection = report.sinceDetection;
     logInfo(LogPart::Attempt,
-        attemptText(report.number) + " resumed at position " + std::to_string(report.position) + ", "
+        attemptDescription(report.number) + " resumed at position " + std::to_string(report.position) + ", "
             + std::to_string(report.gap.count()) + " ms after the last token and "
             + std::to_string(report.sinceDetection.count()) + " ms after the loss was detected.");
 }
@@ -415,7 +415,7 @@
 // Tells the engine to stop a stream, because it may keep streams running without a connection.
 void LiveGeneration::stopStream(const EndpointSettings& endpoint, const std::string& stream)
 {
-    class Nobody final : public HttpCallListener {
+    class IgnoringListener final : public HttpCallListener {
     public:
         void headArrived(unsigned, const HttpHeaders&) override { }
         void bodyArrived(std::string_view) override { }
@@ -423,10 +423,10 @@
         void failed(HttpCallFailure, const std::string&) override { }
     };
     const HttpRequest message { "DELETE", "/v1/streams/" + stream, {}, {} };
-    m_context.calls.start(endpoint.socketAddress(), message, stopTimeout, std::make_shared<Nobody>());
+    m_context.calls.start(endpoint.socketAddress(), message, stopTimeout, std::make_shared<IgnoringListener>());
 }
 
-std::string LiveGeneration::attemptText(AttemptNumber attempt) const
+std::string LiveGeneration::attemptDescription(AttemptNumber attempt) const
 {
     return "generation " + m_id + " attempt " + std::to_string(attempt);
 }
@@ -472,13 +472,13 @@
 void LiveGeneration::armTimer()
 {
     const auto next = m_driver.nextTick();
-    if (next < m_armedFor)
+    if (next < m_timerExpiry)
         armTimerFor(next);
 }
 
 void LiveGeneration::armTimerFor(Milliseconds next)
 {
-    m_armedFor = next;
+    m_timerExpiry = next;
     const auto wait = std::max(Milliseconds::zero(), next - m_context.clock.now());
     m_timer.expires_after(wait);
     m_timer.async_wait([weak = weak_from_this()](boost::system::error_code error) {
@@ -492,31 +492,31 @@
 {
     const std::lock_guard lock(m_mutex);
     const auto now = m_context.clock.now();
-    const bool wasPaused = now - m_armedFor >= ownPauseLimit;
-    m_armedFor = Milliseconds::max();
+    const bool wasPaused = now - m_timerExpiry >= pauseThreshold;
+    m_timerExpiry = Milliseconds::max();
     // After a pause of this VM every stream looks silent while its tokens wait in the sockets. Those are read first; a
     // stream that is still silent after that is detected when the timer fires next.
-    if (wasPaused && !m_isPauseExcused) {
-        m_isPauseExcused = true;
-        armTimerFor(now + pauseExcuse);
+    if (wasPaused && !m_isWaitingAfterPause) {
+        m_isWaitingAfterPause = true;
+        armTimerFor(now + graceAfterPause);
         return;
     }
-    m_isPauseExcused = false;
+    m_isWaitingAfterPause = false;
     m_driver.tick(now);
     afterEvent();
 }
 
 // A keyed generation that must not be repeated runs to its end, because its answer could not be generated a second
 // time.
-void LiveGeneration::lastWatcherLeft()
+void LiveGeneration::lastWatcherDetached()
 {
-    m_context.metrics.callersGone.Increment();
-    const bool canComeBack = !m_request.idempotencyKey.empty();
-    if (canComeBack && !m_request.repeatable) {
+    m_context.metrics.callersDisconnected.Increment();
+    const bool canCallerReturn = !m_request.idempotencyKey.empty();
+    if (canCallerReturn && !m_request.repeatable) {
         logInfo(LogPart::Caller, "generation " + m_id + " continues without a caller because it must not be repeated.");
         return;
     }
-    const auto grace = canComeBack ? m_context.settings.generation.detachedGrace : Milliseconds::zero();
+    const auto grace = canCallerReturn ? m_context.settings.generation.detachedGrace : Milliseconds::zero();
     if (grace == Milliseconds::zero()) {
         abandonIfUnwatched();
         return;
--- a/src/daemon/LiveGeneration.h
+++ b/src/daemon/LiveGeneration.h
@@ -45,9 +45,9 @@
     void detach(const GenerationWatcher&);
 
     // Tells the replica that it may remove the generation.
-    void forget();
+    void detachJournal();
     // True when another VM runs the generation now, or when it was refused as not run: its key may be used again here.
-    bool isVoid() const;
+    bool isKeyReusable() const;
     // Removes all watchers without notifying them. Only for the end of the process.
     void shutDown();
 
@@ -88,14 +88,14 @@
     bool isEndVisible() const;
     std::string streamId(AttemptNumber) const;
     void stopStream(const EndpointSettings&, const std::string& stream);
-    std::string attemptText(AttemptNumber) const;
+    std::string attemptDescription(AttemptNumber) const;
     std::optional<EnginePrefix> prefix() const;
     void afterEvent();
     void notifyWatchers();
     void armTimer();
     void armTimerFor(Milliseconds);
     void timerFired();
-    void lastWatcherLeft();
+    void lastWatcherDetached();
     void abandonIfUnwatched();
 
     const GenerationContext m_context;
@@ -121,8 +121,8 @@
     // The engine stream of an attempt of this VM, for the journal.
     std::optional<JournaledAttempt> m_journaledAttempt;
     boost::asio::steady_timer m_timer;
-    Milliseconds m_armedFor { Milliseconds::max() };
-    bool m_isPauseExcused { false };
+    Milliseconds m_timerExpiry { Milliseconds::max() };
+    bool m_isWaitingAfterPause { false };
     boost::asio::steady_timer m_graceTimer;
 };
 
--- a/src/daemon/Metrics.cpp
+++ b/src/daemon/Metrics.cpp
@@ -46,7 +46,7 @@
           "Milliseconds from the last token before a loss to the first after it."))
     , resumeAfterDetection(histogram(*m_registry, "lupinknot_resume_after_detection_ms",
           "Milliseconds from the detection of a loss to the first token after it."))
-    , callersGone(
+    , callersDisconnected(
           counters(*m_registry, "lupinknot_callers_gone_total", "Callers who left before their answer was complete.")
               .Add({}))
     , generationsHeld(
--- a/src/daemon/Metrics.h
+++ b/src/daemon/Metrics.h
@@ -45,7 +45,7 @@
     prometheus::Histogram& resumeGap;
     // Milliseconds from the detection of a loss to the first token after it.
     prometheus::Histogram& resumeAfterDetection;
-    prometheus::Counter& callersGone;
+    prometheus::Counter& callersDisconnected;
     prometheus::Gauge& generationsHeld;
 };
 
--- a/src/daemon/PlatformReader.cpp
+++ b/src/daemon/PlatformReader.cpp
@@ -63,9 +63,9 @@
 std::optional<Milliseconds> PlatformReader::age() const
 {
     const std::lock_guard lock(m_mutex);
-    if (!m_lastReading)
+    if (!m_lastReadAt)
         return std::nullopt;
-    return m_context.clock.now() - *m_lastReading;
+    return m_context.clock.now() - *m_lastReadAt;
 }
 
 void PlatformReader::headArrived(unsigned status, const HttpHeaders&)
@@ -86,17 +86,17 @@
 {
     const std::lock_guard lock(m_mutex);
     if (m_status == statusOk)
-        takeList();
+        applyList();
     else
         noteFailure("status " + std::to_string(m_status));
-    waitForNext();
+    scheduleNextRead();
 }
 
 void PlatformReader::failed(HttpCallFailure failure, const std::string&)
 {
     const std::lock_guard lock(m_mutex);
     noteFailure(std::string(nameIn(httpCallFailureNames, failure)));
-    waitForNext();
+    scheduleNextRead();
 }
 
 void PlatformReader::readList()
@@ -106,7 +106,7 @@
     m_call = m_context.calls.start({ platform.address, platform.port }, request, platform.timeout, shared_from_this());
 }
 
-void PlatformReader::waitForNext()
+void PlatformReader::scheduleNextRead()
 {
     if (m_isStopped)
         return;
@@ -121,7 +121,7 @@
     });
 }
 
-void PlatformReader::takeList()
+void PlatformReader::applyList()
 {
     const auto entries = parseListing(m_body);
     if (!entries) {
@@ -129,7 +129,7 @@
         return;
     }
     m_endpoints.applyListing(*entries);
-    m_lastReading = m_context.clock.now();
+    m_lastReadAt = m_context.clock.now();
     if (m_isFailing)
         logInfo(LogPart::Platform, "the platform's list can be read again.");
     m_isFailing = false;
--- a/src/daemon/PlatformReader.h
+++ b/src/daemon/PlatformReader.h
@@ -34,8 +34,8 @@
     static constexpr std::size_t maxListBytes = 16 * mebibyte;
 
     void readList();
-    void waitForNext();
-    void takeList();
+    void scheduleNextRead();
+    void applyList();
     void noteFailure(const std::string& reason);
 
     const GenerationContext m_context;
@@ -46,7 +46,7 @@
     std::shared_ptr<HttpCall> m_call;
     unsigned m_status { 0 };
     std::string m_body;
-    std::optional<Milliseconds> m_lastReading;
+    std::optional<Milliseconds> m_lastReadAt;
     bool m_isFailing { false };
     bool m_isStopped { false };
 };
--- a/src/daemon/ServiceCall.cpp
+++ b/src/daemon/ServiceCall.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr auto requestKind = "service";
-constexpr Milliseconds shortestTry { 1 };
+constexpr Milliseconds minAttemptTimeout { 1 };
 constexpr Milliseconds retryAfter { 1000 };
 
 FailureKind failureKindOf(HttpCallFailure failure)
@@ -44,7 +44,7 @@
     const std::lock_guard lock(m_mutex);
     // The caller can disconnect before the call starts.
     if (!m_isOver)
-        tryNext();
+        startNextAttempt();
 }
 
 void ServiceCall::headArrived(unsigned status, const HttpHeaders& headers)
@@ -63,7 +63,7 @@
     m_response.body.append(piece);
     if (m_response.body.size() <= maxResponseBytes)
         return;
-    endTry(std::nullopt);
+    endAttempt(std::nullopt);
     refuse({ 502, "response_too_large",
         "the service's response is larger than the limit of " + std::to_string(maxResponseBytes) + " bytes", "",
         RunOutcome::Unknown, {} });
@@ -75,7 +75,7 @@
     const std::lock_guard lock(m_mutex);
     if (m_isOver)
         return;
-    endTry(std::nullopt);
+    endAttempt(std::nullopt);
     m_isOver = true;
     m_context.metrics.countRequest(requestKind, m_response.status);
     m_exchange->respond(std::move(m_response));
@@ -90,10 +90,10 @@
         subject() + " failed on " + m_endpoint->settings().name + ": "
             + std::string(nameIn(httpCallFailureNames, failure)) + " (" + message + ").");
     m_mayHaveRun = m_mayHaveRun || failure != HttpCallFailure::NotConnected;
-    m_avoid.push_back(m_endpoint->settings().name);
-    endTry(failureKindOf(failure));
-    if (mayTryAgain(failure)) {
-        tryNext();
+    m_failedEndpoints.push_back(m_endpoint->settings().name);
+    endAttempt(failureKindOf(failure));
+    if (mayRetry(failure)) {
+        startNextAttempt();
         return;
     }
     const bool isLate = failure == HttpCallFailure::TimedOut;
@@ -102,11 +102,11 @@
         "the call to the service failed: " + std::string(nameIn(httpCallFailureNames, failure)), "", outcome, {} });
 }
 
-void ServiceCall::tryNext()
+void ServiceCall::startNextAttempt()
 {
-    ++m_tries;
+    ++m_attempts;
     const auto left = m_deadline - m_context.clock.now();
-    m_endpoint = m_context.endpoints.chooseAmong(m_service.endpoints, { subject(), m_avoid });
+    m_endpoint = m_context.endpoints.chooseAmong(m_service.endpoints, { subject(), m_failedEndpoints });
     if (!m_endpoint || left <= Milliseconds::zero()) {
         const auto outcome = m_mayHaveRun ? RunOutcome::Unknown : RunOutcome::NotRun;
         refuse({ 503, "no_endpoint", "no endpoint of the service can take the call", "", outcome, retryAfter });
@@ -114,23 +114,26 @@
     }
     // A silent endpoint must not use up the time of later attempts; the last possible attempt gets all the remaining
     // time.
-    const auto triesLeft = m_repeatable ? m_service.maxAttempts - m_tries + 1 : 1;
+    const auto attemptsLeft = m_repeatable ? m_service.maxAttempts - m_attempts + 1 : 1;
     m_endpoint->workStarted();
-    m_call = m_context.calls.start(m_endpoint->settings().socketAddress(), outgoing(),
-        std::max(shortestTry, left / triesLeft), shared_from_this());
+    m_call = m_context.calls.start(m_endpoint->settings().socketAddress(), endpointRequest(),
+        std::max(minAttemptTimeout, left / attemptsLeft), shared_from_this());
 }
 
-HttpRequest ServiceCall::outgoing() const
+HttpRequest ServiceCall::endpointRequest() const
 {
     const auto& incoming = m_exchange->request();
     return { incoming.method, incoming.target, incoming.headers.endToEnd(), incoming.body };
 }
 
-void ServiceCall::endTry(std::optional<FailureKind> failure) { m_endpoint->workEnded(failure, m_context.clock.now()); }
+void ServiceCall::endAttempt(std::optional<FailureKind> failure)
+{
+    m_endpoint->workEnded(failure, m_context.clock.now());
+}
 
-bool ServiceCall::mayTryAgain(HttpCallFailure failure) const
+bool ServiceCall::mayRetry(HttpCallFailure failure) const
 {
-    if (m_tries >= m_service.maxAttempts)
+    if (m_attempts >= m_service.maxAttempts)
         return false;
     return m_repeatable || failure == HttpCallFailure::NotConnected;
 }
@@ -152,17 +155,17 @@
     if (m_isOver)
         return;
     m_isOver = true;
-    m_context.metrics.callersGone.Increment();
+    m_context.metrics.callersDisconnected.Increment();
     if (!m_call)
         return;
-    endTry(std::nullopt);
+    endAttempt(std::nullopt);
     boost::asio::post(m_context.ioContext, [call = m_call] { call->cancel(); });
 }
 
 std::string ServiceCall::subject() const
 {
     return "service " + m_service.name + " call " + m_exchange->request().method + " "
-        + std::string(m_exchange->request().path()) + " attempt " + std::to_string(m_tries);
+        + std::string(m_exchange->request().path()) + " attempt " + std::to_string(m_attempts);
 }
 
 } // namespace lupinknot::internal
--- a/src/daemon/ServiceCall.h
+++ b/src/daemon/ServiceCall.h
@@ -34,10 +34,10 @@
 private:
     static constexpr std::size_t maxResponseBytes = 16 * mebibyte;
 
-    void tryNext();
-    HttpRequest outgoing() const;
-    void endTry(std::optional<FailureKind>);
-    bool mayTryAgain(HttpCallFailure) const;
+    void startNextAttempt();
+    HttpRequest endpointRequest() const;
+    void endAttempt(std::optional<FailureKind>);
+    bool mayRetry(HttpCallFailure) const;
     void refuse(const JsonError&);
     void cancel();
     std::string subject() const;
@@ -50,10 +50,10 @@
 
     std::mutex m_mutex;
     // The members below are guarded by the lock.
-    unsigned m_tries { 0 };
+    unsigned m_attempts { 0 };
     bool m_mayHaveRun { false };
     bool m_isOver { false };
-    std::vector<std::string> m_avoid;
+    std::vector<std::string> m_failedEndpoints;
     std::shared_ptr<EndpointState> m_endpoint;
     std::shared_ptr<HttpCall> m_call;
     HttpResponse m_response;
--- a/src/daemon/ServiceHandler.cpp
+++ b/src/daemon/ServiceHandler.cpp
@@ -33,14 +33,14 @@
     const auto* service = find(exchange->request().path());
     if (!service)
         return false;
-    const auto said = exchange->request().headers.find("Lupinknot-Repeatable");
-    if (said && *said != "true" && *said != "false") {
-        exchange->respond(
-            errorResponse({ 400, "invalid_request", "expected true or false; found \"" + std::string(*said) + "\"",
+    const auto repeatableHeader = exchange->request().headers.find("Lupinknot-Repeatable");
+    if (repeatableHeader && *repeatableHeader != "true" && *repeatableHeader != "false") {
+        exchange->respond(errorResponse(
+            { 400, "invalid_request", "expected true or false; found \"" + std::string(*repeatableHeader) + "\"",
                 "Lupinknot-Repeatable", RunOutcome::NotRun, {} }));
         return true;
     }
-    const bool repeatable = said ? *said == "true" : service->repeatable;
+    const bool repeatable = repeatableHeader ? *repeatableHeader == "true" : service->repeatable;
     if (exchange->request().headers.find("Idempotency-Key"))
         handleKeyed(exchange, *service, repeatable);
     else
@@ -54,9 +54,9 @@
     const auto entry = m_calls.find(key);
     if (entry == m_calls.end())
         return false;
-    if (!entry->second->isVoid())
+    if (!entry->second->isKeyReusable())
         return true;
-    entry->second->forget();
+    entry->second->detachJournal();
     m_calls.erase(entry);
     return false;
 }
@@ -69,7 +69,7 @@
         const auto endedAt = entry->second->endedAt();
         const bool isExpired = endedAt && now - *endedAt >= m_context.settings.generation.retention;
         if (isExpired)
-            entry->second->forget();
+            entry->second->detachJournal();
         entry = isExpired ? m_calls.erase(entry) : std::next(entry);
     }
 }
@@ -110,7 +110,7 @@
     }
     call->join(exchange);
     if (isNew && mayHaveRun && !repeatable)
-        call->startAsUnknown();
+        call->completeAsUnknown();
     else if (isNew)
         call->start();
 }
--- a/test/EndpointStateTest.cpp
+++ b/test/EndpointStateTest.cpp
@@ -69,16 +69,16 @@
 TEST(EndpointState, AllowsOneProbeAtATimeWhileEjected)
 {
     failAt(1000);
-    CHECK(endpoint.takeProbe(at(1010)));
-    CHECK_FALSE(endpoint.takeProbe(at(1011)));
+    CHECK(endpoint.reserveProbe(at(1010)));
+    CHECK_FALSE(endpoint.reserveProbe(at(1011)));
     failAt(1012, FailureKind::ConnectionRefused);
-    CHECK(endpoint.takeProbe(at(1013)));
+    CHECK(endpoint.reserveProbe(at(1013)));
 }
 
 TEST(EndpointState, IsEligibleAsSoonAsAProbeIsAnswered)
 {
     failAt(1000);
-    endpoint.takeProbe(at(1010));
+    endpoint.reserveProbe(at(1010));
     endpoint.noteAlive();
     CHECK(endpoint.isEligible(at(1020)));
 }
@@ -88,5 +88,5 @@
     endpoint.setListing(EndpointListing::Leaving);
     CHECK_FALSE(endpoint.isEligible(at(0)));
     failAt(1000);
-    CHECK_FALSE(endpoint.takeProbe(at(1010)));
+    CHECK_FALSE(endpoint.reserveProbe(at(1010)));
 }
