--- a/test/CompletionRequestTest.cpp
+++ b/test/CompletionRequestTest.cpp
@@ -19,7 +19,7 @@
     return { "POST", "/v1/completions", std::move(headers), body };
 }
 
-// The field at fault and the start of the message; "none" when the request is good.
+// The invalid field and the error message; "none" when the request is valid.
 std::string errorOf(const HttpRequest& request)
 {
     return leaf::try_handle_all(
--- a/test/DaemonTest.cpp
+++ b/test/DaemonTest.cpp
@@ -1,4 +1,4 @@
-// The daemon between stand-ins, over real connections: what callers see while engines and services fail.
+// Tests the daemon over real connections to stand-ins: what callers get while engines and services fail.
 
 #include "TestCluster.h"
 
@@ -43,7 +43,7 @@
 {
     TestCluster cluster;
 
-    // Starts with a fault on the engine that is chosen first.
+    // Starts the cluster with a fault on the engine that is chosen first.
     void strikeFirst(const std::string& control)
     {
         cluster.start();
@@ -111,7 +111,7 @@
     cluster.engine(1).control(R"({"crash_at":5,"down_ms":30})");
     const auto result = cluster.run(cluster.caller());
     checkWhole(result);
-    // Probes of engines that are still down may stand between the second loss and the end.
+    // After the second loss there may be failed probes of engines that are still down.
     STRCMP_CONTAINS("connection-lost;connection-lost;", failuresOf(result).c_str());
 }
 
@@ -199,7 +199,7 @@
     cluster.run(caller);
     CHECK_TEXT(
         becomesTrue([this] { return cluster.engine(0).work().cancelled + cluster.engine(1).work().cancelled == 1; }),
-        "expected the engine to be told that the caller has gone");
+        "expected one engine to cancel its work after the caller disconnected");
 }
 
 TEST(Daemon, GoesOnFromItsTokensForACallerWhoComesBack)
@@ -229,7 +229,7 @@
     cluster.start();
     cluster.platform().control(R"({"endpoints":[{"name":"e1","state":"leaving"}]})");
     const auto isTold = [this] { return cluster.ask("/v1/status").response.body.find("leaving") != std::string::npos; };
-    CHECK_TEXT(becomesTrue(isTold), "expected the list's change to be taken over");
+    CHECK_TEXT(becomesTrue(isTold), "expected the status to list the endpoint as leaving");
     for (int i = 0; i < 5; ++i)
         checkWhole(cluster.run(cluster.caller()));
     LONGS_EQUAL(0, cluster.engine(0).work().requests);
@@ -357,7 +357,7 @@
     STRCMP_CONTAINS("lupinknot_endpoint_in_flight{endpoint=\"e1\"} 0", metrics.c_str());
 }
 
-// Who is refused as not run is told when to come back; the key must not bring the old refusal then.
+// A caller refused as not run is told when to retry; the retry with the same key must not get the earlier refusal.
 TEST(Daemon, TakesAKeyAgainThatWasRefusedAsNotRun)
 {
     cluster.start();
--- a/test/InterleavingTest.cpp
+++ b/test/InterleavingTest.cpp
@@ -1,7 +1,9 @@
-// Drives the decision parts through seeded interleavings: a runner and a replica, an engine that may die, links that
-// lose what is on its way, pauses, a takeover, a caller who changes VMs. After each step the promises are checked.
+// Tests the decision logic in seeded random interleavings of a runner, a replica that takes over, an engine that may
+// die, links that lose messages in flight, pauses, and a caller who changes VMs. The invariants are checked after each
+// step.
 //
-// Tokens are numbered over the whole run, so a token of another run of the same request is seen wherever it shows.
+// Token ids are unique over the whole run, so a token from another run of the same request is detected wherever it
+// appears.
 
 #include "lupinknot/GenerationDriver.h"
 #include "lupinknot/ManualClock.h"
@@ -23,15 +25,16 @@
 const std::string key = "k";
 const ViewMember runnerMember { "a", 1 };
 
-// The mistakes that can be planted, to see that they are found.
+// Bugs that a test can inject to check that the simulation detects them.
 enum class Plant {
     Nothing,
-    NoSeal, // The record is taken over, but its runner is not kept out.
-    ShowBeforeAcknowledged, // The caller sees what the replica may not hold.
-    StartOver, // Work that must not be repeated is started again from nothing.
+    NoSeal, // The record is taken over, but its old runner can still write to it.
+    ShowBeforeAcknowledged, // The caller gets tokens that the replica may not hold.
+    StartOver, // Work that must not be repeated is started again from the beginning.
 };
 
-// One VM's generation, its attempts on the engine, and what the engine has sent and the VM has not read yet.
+// The generation of one VM, its attempts on the engine, and the tokens that the engine has sent and the VM has not read
+// yet.
 class Vm final : public AttemptHost {
 public:
     Vm(bool repeatable, std::size_t& runsFromNothing)
@@ -89,7 +92,7 @@
         m_runner.driver.start(m_clock.now());
     }
 
-    // Runs to the first broken promise. Returns the trace up to it, or nothing.
+    // Runs until an invariant is violated. Returns the trace up to that step, or an empty text when none is violated.
     std::string run()
     {
         for (std::size_t i = 0; i < stepsInRun && m_broken.empty(); ++i) {
@@ -178,14 +181,14 @@
 
     void stopRunner()
     {
-        note("runner stops");
+        note("runner is stopped");
         m_runner.isStopped = true;
         m_runner.driver.stop(GenerationErrorCode::TakenOver);
     }
 
     void linkLoses()
     {
-        note("link loses " + std::to_string(m_journal.size() + m_answers.size()));
+        note("messages lost on the link: " + std::to_string(m_journal.size() + m_answers.size()));
         m_journal.clear();
         m_answers.clear();
         if (!m_runner.isPaused && !m_runner.isStopped)
@@ -204,7 +207,7 @@
     void pauseOrWake()
     {
         m_runner.isPaused = !m_runner.isPaused;
-        note(m_runner.isPaused ? "runner pauses" : "runner wakes");
+        note(m_runner.isPaused ? "runner pauses" : "runner resumes");
     }
 
     std::size_t visible(const Vm& vm) const
@@ -222,7 +225,8 @@
         const auto& tokens = vm.driver.generation().tokens();
         for (std::size_t i = 0; i < m_seen.size(); ++i) {
             if (i >= tokens.size() || tokens[i].id != m_seen[i]) {
-                m_broken = "what the caller saw at " + std::to_string(i) + " is not in the answer that goes on";
+                m_broken = "the token that the caller got at position " + std::to_string(i)
+                    + " is not in the continued answer";
                 return;
             }
         }
@@ -230,8 +234,8 @@
             m_seen.push_back(tokens[i].id);
     }
 
-    // The runner pauses, so its caller goes to the replica, which takes over; or the caller comes back to a runner that
-    // woke, which goes by the id of the answer and not by its length.
+    // While the runner is paused, its caller goes to the replica, which takes over. The caller may return to the runner
+    // after the pause; the runner accepts it by the id of the answer and not by its length.
     void callerChangesVm()
     {
         if (m_callerIsAtTaker) {
@@ -248,7 +252,7 @@
         if (m_seen.size() <= m_taker.driver.generation().length())
             m_callerIsAtTaker = true;
         else
-            m_broken = "the replica does not hold what the caller saw";
+            m_broken = "the replica does not hold all tokens that the caller got";
     }
 
     bool takeOver()
@@ -285,7 +289,7 @@
     std::string m_broken;
 };
 
-// The trace of the first seed that breaks a promise; nothing when none does.
+// The trace of the first seed that violates an invariant; empty when there is none.
 std::string firstFailure(bool repeatable, Plant plant)
 {
     for (std::uint64_t seed = 1; seed <= runs; ++seed) {
--- a/test/JournalTokensTest.cpp
+++ b/test/JournalTokensTest.cpp
@@ -11,7 +11,7 @@
     TokenTexts sent;
     TokenTexts received;
 
-    // What arrives of tokens of one stream, as "handle:text text ".
+    // The tokens of one stream as the receiver decodes them: "handle:", then the id and text of each token.
     std::string passOn(const std::vector<Token>& tokens, std::size_t* bytes = nullptr)
     {
         wire::JournalBatch batch;
--- a/test/KeyPlacementTest.cpp
+++ b/test/KeyPlacementTest.cpp
@@ -45,7 +45,8 @@
 {
     const auto placement = placeByRecord(record(false), std::nullopt);
     expect(Kind::Refuse, placement);
-    CHECK_FALSE_TEXT(placement.record.has_value(), "a record that is not taken over should stay where it is");
+    CHECK_FALSE_TEXT(
+        placement.record.has_value(), "a record that is not taken over should not be moved into the placement");
 }
 
 TEST(KeyPlacement, RepeatableWorkIsTakenOverFromAVmThatCannotBeReached)
--- a/test/TestCluster.cpp
+++ b/test/TestCluster.cpp
@@ -23,8 +23,8 @@
     return settings;
 }
 
-// Ports below the range from which the system takes those of outgoing connections, so that a restarted VM finds its own
-// free; tests of two processes begin at different ones.
+// The ports lie below the range that the system uses for outgoing connections, so that a restarted VM finds its port
+// free. Two test processes start at different ports.
 std::int64_t freePort()
 {
     constexpr int firstPort = 20000;
--- a/test/TestCluster.h
+++ b/test/TestCluster.h
@@ -1,4 +1,5 @@
-// A daemon with stand-ins around it, all in the test's process, on free ports.
+// A cluster of daemons with stand-ins for engines, services and the platform, all in the test's process and on free
+// ports.
 #pragma once
 
 #include "daemon/Daemon.h"
@@ -12,7 +13,7 @@
 
 namespace lupinknot::internal {
 
-// Not thread-safe. Starts everything in its constructor and stops it in its destructor.
+// Not thread-safe. The constructor starts the stand-ins, start() starts the daemons, and the destructor stops both.
 class TestCluster {
 public:
     explicit TestCluster(std::size_t engineCount = 2, std::size_t vmCount = 1);
@@ -20,14 +21,15 @@
     TestCluster(const TestCluster&) = delete;
     TestCluster& operator=(const TestCluster&) = delete;
 
-    // Settings may be changed until this. Each VM gets a copy, with its own name and the others as peers.
+    // Starts the daemons. The settings may be changed only before. Each VM gets a copy with its own name and with the
+    // other VMs as peers.
     void start();
-    // Ends a VM as a kill would: its connections close, and nothing is handed over.
+    // Destroys a VM's daemon without an orderly stop: its connections close, and it hands nothing over.
     void killVm(std::size_t index);
-    // Starts a killed VM again, empty; restartVm() also waits until it is linked.
+    // Starts a killed VM again, without its former state; restartVm() also waits until it is linked.
     void startVm(std::size_t index);
     void restartVm(std::size_t index);
-    // The VM that runs a generation now; the test fails when there is none.
+    // Index of the first VM that runs a generation now; the number of VMs when there is none.
     std::size_t runningVm() const;
     bool areVmsLinked() const;
 
@@ -37,20 +39,20 @@
     PlatformStandIn& platform() { return *m_platform; }
     Daemon& daemon(std::size_t index = 0) { return *m_daemons[index]; }
 
-    // Lets an engine or a service be dead for the rest of the test; returns when connections to it are refused.
+    // Stops an engine or a service for the rest of the test; returns when connections to it are refused.
     template <typename StandIn> void kill(StandIn& standIn)
     {
         standIn.control(R"({"crash":true,"down_ms":600000})");
         waitUntilRefused(standIn.port());
     }
 
-    // A caller with a prompt of a few tokens; change it, then run it.
+    // Options of a caller with a short prompt, for the test to change and pass to run().
     GenerationCallerOptions caller(const std::string& key = "") const;
     GenerationResult run(GenerationCallerOptions) const;
     HttpFetchResult post(
         const std::string& target, const std::string& body, HttpHeaders headers = {}, std::size_t vm = 0) const;
     HttpFetchResult ask(const std::string& adminTarget, std::size_t vm = 0) const;
-    // Requests that all engines have got.
+    // Number of requests that all engines have received.
     std::size_t engineRequests() const;
 
 private:
@@ -71,7 +73,8 @@
     LoadOptions m_load;
 };
 
-// Waits until a condition holds; the test fails when that takes longer than any sound run would.
+// Waits until a condition holds. Returns false when it does not hold within about 10 seconds, much longer than a
+// correct run takes.
 template <typename Condition> bool becomesTrue(Condition condition)
 {
     constexpr int tries = 2000;
--- a/test/VmLossTest.cpp
+++ b/test/VmLossTest.cpp
@@ -1,4 +1,4 @@
-// Several daemons between stand-ins: what callers see when one of them dies, and that work runs once.
+// Tests several daemons with stand-ins: what callers get when a VM dies, and that work runs only once.
 
 #include "RawConnection.h"
 #include "TestCluster.h"
@@ -40,13 +40,13 @@
 
     void setup() override
     {
-        // A busy machine must not make an engine look silent here.
+        // Long timeouts, so that a busy machine does not make an engine look silent.
         cluster.settings.silence.floor = Milliseconds { 60000 };
         cluster.settings.silence.ceiling = Milliseconds { 60000 };
         cluster.settings.silence.prefill = Milliseconds { 60000 };
     }
 
-    // Runs a keyed generation and kills the VM that runs it in the middle.
+    // Runs a keyed generation and kills its VM in the middle.
     GenerationResult runAndKill(GenerationCallerOptions caller)
     {
         std::thread killer;
@@ -130,7 +130,7 @@
 TEST(VmLoss, NeverRunsUnrepeatableWorkAgainAfterItsVmIsLost)
 {
     cluster.start();
-    // Neither engine gives a first token, so the work may have begun and nothing shows how far it is.
+    // Neither engine sends a first token, so the work may have started and its progress is unknown.
     cluster.engine(0).control(R"({"pause_at":0,"pause_ms":60000})");
     cluster.engine(1).control(R"({"pause_at":0,"pause_ms":60000})");
     std::thread asking([this] { cluster.post("/v1/completions", body, unrepeatable("k")); });
@@ -174,7 +174,7 @@
     STRCMP_EQUAL("not-run", header(result, "Lupinknot-Outcome").c_str());
 }
 
-// A VM that takes callers before its links are up would take every key for new.
+// A VM that accepts callers before it is linked to the others would treat every key as new.
 TEST(VmLoss, TakesNoKeyForNewBeforeItHasHeardOfTheOthers)
 {
     cluster.start();
@@ -209,7 +209,7 @@
     const auto runs = [this] { return cluster.service(0).runsOf("w") + cluster.service(1).runsOf("w"); };
     std::thread asking([&] { cluster.post("/thumbs/fire", "on", headers); });
     CHECK(becomesTrue([&] { return runs() == 1; }));
-    // Whichever VM runs the call, losing two of three loses it, or leaves its record with the third.
+    // Whichever VM runs the call, killing two of the three VMs either loses the call or leaves its record on the third.
     cluster.killVm(1);
     cluster.killVm(2);
     asking.join();
@@ -218,7 +218,7 @@
     LONGS_EQUAL(1, runs());
 }
 
-// A caller can be gone before the call that serves it has begun.
+// A caller can disconnect before the call that serves it has started.
 TEST(VmLoss, SurvivesCallersWhoLeaveAtOnce)
 {
     cluster.start();
@@ -234,7 +234,7 @@
     checkWhole(cluster.run(cluster.caller("after")));
 }
 
-// The old record of a key is dropped and the new one opened at once; the drop must not take the new one.
+// The old record of a key is dropped and a new one opened in the same batch; the drop must not remove the new record.
 TEST(VmLoss, HoldsTheRecordOfAKeyThatWasRefusedBefore)
 {
     cluster.start();
@@ -255,7 +255,8 @@
     LONGS_EQUAL(1, cluster.engineRequests());
 }
 
-// Whoever takes over holds at least what callers saw, because they see no token before a replica holds it.
+// A VM that takes over holds at least the tokens that callers saw, because callers get no token before a replica holds
+// it.
 TEST(VmLoss, ShowsNoTokenBeforeAnotherVmHoldsIt)
 {
     TestCluster two { 1, 2 };
@@ -276,7 +277,7 @@
     }));
     CHECK(becomesTrue([&two] { return two.engine(0).work().decodedTokens == 200; }));
     const auto shownBefore = shown.load();
-    // With the replica gone the answer goes on unprotected.
+    // Without the replica the generation continues unprotected.
     two.killVm(1 - runner);
     asking.join();
     LONGS_EQUAL(0, shownBefore);
