--- a/test/CompletionRequestTest.cpp
+++ b/test/CompletionRequestTest.cpp
@@ -20,7 +20,7 @@
 }
 
 // The invalid field and the error message; "none" when the request is valid.
-std::string errorOf(const HttpRequest& request)
+std::string parseErrorOf(const HttpRequest& request)
 {
     return leaf::try_handle_all(
         [&]() -> leaf::result<std::string> {
@@ -47,7 +47,7 @@
 
 TEST_GROUP(CompletionRequest) {};
 
-TEST(CompletionRequest, ReadsEveryField)
+TEST(CompletionRequest, ParsesEveryField)
 {
     const auto request
         = parsed(message(R"({"model":"m","prompt":"a b","max_tokens":7,"stream":true,"stop":"x","seed":3,"top_p":0.5})",
@@ -66,7 +66,7 @@
     STRCMP_EQUAL(R"({"top_p":0.5})", request.sampling.c_str());
 }
 
-TEST(CompletionRequest, NamesTheFieldAtFault)
+TEST(CompletionRequest, ReportsTheInvalidField)
 {
     const BadRequest cases[] = {
         { "{", "body: expected JSON in UTF-8" },
@@ -92,13 +92,13 @@
         { R"({"model":"m","prompt":"a","n":2})", "n: this field is not supported" },
     };
     for (const auto& bad : cases)
-        STRCMP_CONTAINS(bad.expected, errorOf(message(bad.body)).c_str());
+        STRCMP_CONTAINS(bad.expected, parseErrorOf(message(bad.body)).c_str());
 }
 
-TEST(CompletionRequest, NamesTheHeaderAtFault)
+TEST(CompletionRequest, ReportsTheInvalidHeader)
 {
     const auto with = [](const char* name, const char* value) {
-        return errorOf(message(R"({"model":"m","prompt":"a"})", { { name, value } }));
+        return parseErrorOf(message(R"({"model":"m","prompt":"a"})", { { name, value } }));
     };
     STRCMP_CONTAINS(
         "Lupinknot-Repeatable: expected true or false; found \"no\"", with("Lupinknot-Repeatable", "no").c_str());
@@ -109,11 +109,11 @@
     STRCMP_CONTAINS("Idempotency-Key: expected 1 to 255 bytes; found 0", with("Idempotency-Key", "").c_str());
 }
 
-TEST(CompletionRequest, HashesTheMeaningOfABodyAndNotItsSpelling)
+TEST(CompletionRequest, HashIgnoresFieldOrderWhiteSpaceAndStream)
 {
     const auto one = parsed(message(R"({"model":"m","prompt":"a"})"));
-    const auto spelledOtherwise = parsed(message(R"({ "prompt": "a", "model": "m", "stream": true })"));
+    const auto formattedDifferently = parsed(message(R"({ "prompt": "a", "model": "m", "stream": true })"));
     const auto another = parsed(message(R"({"model":"m","prompt":"b"})"));
-    CHECK(one.bodyHash == spelledOtherwise.bodyHash);
+    CHECK(one.bodyHash == formattedDifferently.bodyHash);
     CHECK(one.bodyHash != another.bodyHash);
 }
--- a/test/DaemonTest.cpp
+++ b/test/DaemonTest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-void checkWhole(const GenerationResult& result)
+void checkComplete(const GenerationResult& result)
 {
     const auto text = "status " + std::to_string(result.status) + ", delivered " + std::to_string(result.delivered)
         + ", repeated " + std::to_string(result.repeated) + ", mixed " + std::to_string(result.mixed) + ", error "
@@ -24,13 +24,13 @@
     return std::string(result.response.headers.find(name).value_or("none"));
 }
 
-std::string fieldOf(const HttpFetchResult& result, const char* name)
+std::string errorField(const HttpFetchResult& result, const char* name)
 {
     const auto body = nlohmann::json::parse(result.response.body, nullptr, false);
     return body.is_object() && body.contains("error") ? body["error"].value(name, "none") : "no error";
 }
 
-const std::string wholeBody = R"({"model":"story","prompt":[11,12,13],"max_tokens":20})";
+const std::string nonStreamingBody = R"({"model":"story","prompt":[11,12,13],"max_tokens":20})";
 
 struct EngineFault {
     const char* control;
@@ -44,7 +44,7 @@
     TestCluster cluster;
 
     // Starts the cluster with a fault on the engine that is chosen first.
-    void strikeFirst(const std::string& control)
+    void startWithFaultOnFirstEngine(const std::string& control)
     {
         cluster.start();
         cluster.engine(0).control(control);
@@ -52,7 +52,7 @@
 
     std::string failuresOf(const GenerationResult& result)
     {
-        const auto answer = cluster.ask("/v1/generations/" + result.generation);
+        const auto answer = cluster.fetchAdmin("/v1/generations/" + result.generation);
         const auto described = nlohmann::json::parse(answer.response.body);
         std::string failures;
         for (const auto& attempt : described["attempts"])
@@ -61,23 +61,23 @@
     }
 };
 
-TEST(Daemon, StreamsAWholeAnswer)
+TEST(Daemon, StreamsACompleteAnswer)
 {
     cluster.start();
-    checkWhole(cluster.run(cluster.caller()));
+    checkComplete(cluster.run(cluster.caller()));
 }
 
-TEST(Daemon, GivesAWholeAnswerWithoutAStream)
+TEST(Daemon, ReturnsACompleteAnswerWithoutStreaming)
 {
     cluster.start();
-    const auto result = cluster.post("/v1/completions", wholeBody);
+    const auto result = cluster.post("/v1/completions", nonStreamingBody);
     LONGS_EQUAL(200, result.response.status);
     const auto body = nlohmann::json::parse(result.response.body);
     LONGS_EQUAL(20, body["choices"][0]["token_ids"].size());
     LONGS_EQUAL(3, body["usage"]["prompt_tokens"].get<int>());
 }
 
-TEST(Daemon, KeepsAnAnswerWholeThroughEachWayOfFailing)
+TEST(Daemon, CompletesAnAnswerAfterEachKindOfEngineFailure)
 {
     const EngineFault faults[] = {
         { R"({"crash_at":7,"down_ms":100})", "connection-lost;;" },
@@ -91,12 +91,13 @@
         { R"({"fail":true})", "error-status;;" },
     };
     for (const auto& fault : faults) {
-        TestCluster each;
-        each.start();
-        each.engine(0).control(fault.control);
-        const auto result = each.run(each.caller());
-        checkWhole(result);
-        const auto described = nlohmann::json::parse(each.ask("/v1/generations/" + result.generation).response.body);
+        TestCluster faultyCluster;
+        faultyCluster.start();
+        faultyCluster.engine(0).control(fault.control);
+        const auto result = faultyCluster.run(faultyCluster.caller());
+        checkComplete(result);
+        const auto described
+            = nlohmann::json::parse(faultyCluster.fetchAdmin("/v1/generations/" + result.generation).response.body);
         std::string failures;
         for (const auto& attempt : described["attempts"])
             failures += attempt.value("failure", "") + ";";
@@ -104,13 +105,13 @@
     }
 }
 
-TEST(Daemon, KeepsAnAnswerWholeThroughSeveralDeaths)
+TEST(Daemon, CompletesAnAnswerAfterSeveralEngineCrashes)
 {
     cluster.start();
     cluster.engine(0).control(R"({"crash_at":5,"down_ms":30})");
     cluster.engine(1).control(R"({"crash_at":5,"down_ms":30})");
     const auto result = cluster.run(cluster.caller());
-    checkWhole(result);
+    checkComplete(result);
     // After the second loss there may be failed probes of engines that are still down.
     STRCMP_CONTAINS("connection-lost;connection-lost;", failuresOf(result).c_str());
 }
@@ -120,49 +121,51 @@
     cluster.start();
     cluster.kill(cluster.engine(0));
     cluster.kill(cluster.engine(1));
-    const auto result = cluster.post("/v1/completions", wholeBody);
+    const auto result = cluster.post("/v1/completions", nonStreamingBody);
     LONGS_EQUAL(503, result.response.status);
     STRCMP_EQUAL("not-run", header(result, "Lupinknot-Outcome").c_str());
     STRCMP_EQUAL("1", header(result, "Retry-After").c_str());
-    STRCMP_EQUAL("no_endpoint", fieldOf(result, "code").c_str());
+    STRCMP_EQUAL("no_endpoint", errorField(result, "code").c_str());
 }
 
-TEST(Daemon, SaysUnknownWhenUnrepeatableWorkMayHaveBegun)
+TEST(Daemon, ReportsUnknownWhenUnrepeatableWorkMayHaveStarted)
 {
-    strikeFirst(R"({"crash_at":0,"down_ms":100})");
-    const auto result = cluster.post("/v1/completions", wholeBody, { { "Lupinknot-Repeatable", "false" } });
+    startWithFaultOnFirstEngine(R"({"crash_at":0,"down_ms":100})");
+    const auto result = cluster.post("/v1/completions", nonStreamingBody, { { "Lupinknot-Repeatable", "false" } });
     LONGS_EQUAL(502, result.response.status);
     STRCMP_EQUAL("unknown", header(result, "Lupinknot-Outcome").c_str());
     LONGS_EQUAL(1, cluster.engineRequests());
 }
 
-TEST(Daemon, GivesTheSameAnswerForTheSameKeyAndRunsItOnce)
+TEST(Daemon, RunsAKeyOnceAndRepeatsItsAnswer)
 {
     cluster.start();
-    checkWhole(cluster.run(cluster.caller("key")));
-    checkWhole(cluster.run(cluster.caller("key")));
+    checkComplete(cluster.run(cluster.caller("key")));
+    checkComplete(cluster.run(cluster.caller("key")));
     LONGS_EQUAL(1, cluster.engineRequests());
 }
 
-TEST(Daemon, KeepsTheKeysOfOrganisationsApart)
+TEST(Daemon, ScopesKeysByOrganisation)
 {
     cluster.start();
-    cluster.post("/v1/completions", wholeBody, { { "Idempotency-Key", "k" }, { "Lupinknot-Organisation", "one" } });
-    cluster.post("/v1/completions", wholeBody, { { "Idempotency-Key", "k" }, { "Lupinknot-Organisation", "two" } });
+    cluster.post(
+        "/v1/completions", nonStreamingBody, { { "Idempotency-Key", "k" }, { "Lupinknot-Organisation", "one" } });
+    cluster.post(
+        "/v1/completions", nonStreamingBody, { { "Idempotency-Key", "k" }, { "Lupinknot-Organisation", "two" } });
     LONGS_EQUAL(2, cluster.engineRequests());
 }
 
-TEST(Daemon, RefusesAKeyWithAnotherBody)
+TEST(Daemon, RejectsAKeyWithAnotherBody)
 {
     cluster.start();
-    cluster.post("/v1/completions", wholeBody, { { "Idempotency-Key", "k" } });
+    cluster.post("/v1/completions", nonStreamingBody, { { "Idempotency-Key", "k" } });
     const auto result
         = cluster.post("/v1/completions", R"({"model":"story","prompt":"other"})", { { "Idempotency-Key", "k" } });
     LONGS_EQUAL(422, result.response.status);
-    STRCMP_EQUAL("Idempotency-Key", fieldOf(result, "field").c_str());
+    STRCMP_EQUAL("Idempotency-Key", errorField(result, "field").c_str());
 }
 
-TEST(Daemon, GoesOnAfterThePositionThatACallerNames)
+TEST(Daemon, ContinuesAfterLastEventId)
 {
     cluster.start();
     const auto first = cluster.run(cluster.caller("k"));
@@ -174,23 +177,23 @@
     STRCMP_CONTAINS("[DONE]", rest.response.body.c_str());
 }
 
-TEST(Daemon, NeverSplicesAnAnswerItDoesNotHold)
+TEST(Daemon, RejectsAPositionThatItDoesNotHold)
 {
     cluster.start();
     const auto first = cluster.run(cluster.caller("k"));
-    const auto beyond = cluster.post(
-        "/v1/completions", wholeBody, { { "Idempotency-Key", "k" }, { "Last-Event-ID", first.generation + ":21" } });
+    const auto beyond = cluster.post("/v1/completions", nonStreamingBody,
+        { { "Idempotency-Key", "k" }, { "Last-Event-ID", first.generation + ":21" } });
     LONGS_EQUAL(409, beyond.response.status);
-    const auto other
-        = cluster.post("/v1/completions", wholeBody, { { "Idempotency-Key", "k" }, { "Last-Event-ID", "another:2" } });
+    const auto other = cluster.post(
+        "/v1/completions", nonStreamingBody, { { "Idempotency-Key", "k" }, { "Last-Event-ID", "another:2" } });
     LONGS_EQUAL(409, other.response.status);
     const auto unknown = cluster.post(
-        "/v1/completions", wholeBody, { { "Idempotency-Key", "new" }, { "Last-Event-ID", "another:2" } });
+        "/v1/completions", nonStreamingBody, { { "Idempotency-Key", "new" }, { "Last-Event-ID", "another:2" } });
     LONGS_EQUAL(409, unknown.response.status);
     LONGS_EQUAL(1, cluster.engineRequests());
 }
 
-TEST(Daemon, CancelsOnTheEngineWhenTheCallerGoes)
+TEST(Daemon, CancelsTheEngineRequestWhenTheCallerDisconnects)
 {
     cluster.start();
     auto caller = cluster.caller();
@@ -202,69 +205,71 @@
         "expected one engine to cancel its work after the caller disconnected");
 }
 
-TEST(Daemon, GoesOnFromItsTokensForACallerWhoComesBack)
+TEST(Daemon, ResumesTheAnswerForAReturningCaller)
 {
     cluster.start();
-    auto leaving = cluster.caller("k");
-    leaving.leaveAfter = 5;
-    cluster.run(leaving);
-    checkWhole(cluster.run(cluster.caller("k")));
+    auto disconnecting = cluster.caller("k");
+    disconnecting.leaveAfter = 5;
+    cluster.run(disconnecting);
+    checkComplete(cluster.run(cluster.caller("k")));
 }
 
-TEST(Daemon, RunsUnrepeatableKeyedWorkToItsEndWithoutItsCaller)
+TEST(Daemon, FinishesUnrepeatableKeyedWorkWithoutItsCaller)
 {
     cluster.start();
-    auto leaving = cluster.caller("k");
-    leaving.repeatable = false;
-    leaving.leaveAfter = 5;
-    cluster.run(leaving);
-    auto back = cluster.caller("k");
-    back.repeatable = false;
-    checkWhole(cluster.run(back));
+    auto disconnecting = cluster.caller("k");
+    disconnecting.repeatable = false;
+    disconnecting.leaveAfter = 5;
+    cluster.run(disconnecting);
+    auto returning = cluster.caller("k");
+    returning.repeatable = false;
+    checkComplete(cluster.run(returning));
     LONGS_EQUAL(1, cluster.engineRequests());
 }
 
-TEST(Daemon, GivesNoNewWorkToALeavingEndpoint)
+TEST(Daemon, GivesNoNewWorkToAnEndpointThatShutsDown)
 {
     cluster.start();
     cluster.platform().control(R"({"endpoints":[{"name":"e1","state":"leaving"}]})");
-    const auto isTold = [this] { return cluster.ask("/v1/status").response.body.find("leaving") != std::string::npos; };
-    CHECK_TEXT(becomesTrue(isTold), "expected the status to list the endpoint as leaving");
+    const auto isListingApplied
+        = [this] { return cluster.fetchAdmin("/v1/status").response.body.find("leaving") != std::string::npos; };
+    CHECK_TEXT(becomesTrue(isListingApplied), "expected the status to list the endpoint as leaving");
     for (int i = 0; i < 5; ++i)
-        checkWhole(cluster.run(cluster.caller()));
+        checkComplete(cluster.run(cluster.caller()));
     LONGS_EQUAL(0, cluster.engine(0).work().requests);
 }
 
-TEST(Daemon, KeepsTheLastListWhileThePlatformIsDown)
+TEST(Daemon, KeepsTheLastEndpointListDuringAPlatformOutage)
 {
     cluster.start();
     cluster.platform().control(R"({"endpoints":[{"name":"e1","state":"leaving"}]})");
-    const auto isTold = [this] { return cluster.ask("/v1/status").response.body.find("leaving") != std::string::npos; };
-    CHECK(becomesTrue(isTold));
+    const auto isListingApplied
+        = [this] { return cluster.fetchAdmin("/v1/status").response.body.find("leaving") != std::string::npos; };
+    CHECK(becomesTrue(isListingApplied));
     cluster.platform().control(R"({"outage_ms":60000})");
-    checkWhole(cluster.run(cluster.caller()));
+    checkComplete(cluster.run(cluster.caller()));
     LONGS_EQUAL(0, cluster.engine(0).work().requests);
 }
 
-TEST(Daemon, NamesAnUnknownModel)
+TEST(Daemon, RejectsAnUnknownModel)
 {
     cluster.start();
     const auto result = cluster.post("/v1/completions", R"({"model":"nobody","prompt":"a"})");
     LONGS_EQUAL(404, result.response.status);
-    STRCMP_EQUAL("model", fieldOf(result, "field").c_str());
+    STRCMP_EQUAL("model", errorField(result, "field").c_str());
 }
 
-TEST(Daemon, RefusesMoreGenerationsThanItMayHold)
+TEST(Daemon, RejectsGenerationsBeyondTheLimit)
 {
     cluster.settings.generation.maxHeld = 1;
     cluster.start();
-    cluster.post("/v1/completions", wholeBody, { { "Idempotency-Key", "k" } });
-    const auto result = cluster.post("/v1/completions", wholeBody);
+    cluster.post("/v1/completions", nonStreamingBody, { { "Idempotency-Key", "k" } });
+    const auto result = cluster.post("/v1/completions", nonStreamingBody);
     LONGS_EQUAL(503, result.response.status);
-    STRCMP_EQUAL("too_many_generations", fieldOf(result, "code").c_str());
+    STRCMP_EQUAL("too_many_generations", errorField(result, "code").c_str());
 }
 
-TEST(Daemon, PassesServiceCallsThrough)
+TEST(Daemon, ForwardsServiceCallsWithoutHopByHopHeaders)
 {
     cluster.start();
     const auto result = cluster.post(
@@ -277,7 +282,7 @@
     STRCMP_EQUAL("none", body["headers"].value("X-Hop", "none").c_str());
 }
 
-TEST(Daemon, TriesARepeatableServiceCallAgain)
+TEST(Daemon, RetriesARepeatableServiceCall)
 {
     cluster.start();
     cluster.service(0).control(R"({"lose_answers":1})");
@@ -296,7 +301,7 @@
     LONGS_EQUAL(1, cluster.service(0).runsOf("w") + cluster.service(1).runsOf("w"));
 }
 
-TEST(Daemon, GivesAnUnrepeatableServiceCallToAnotherEndpointWhenNoConnectionCameAbout)
+TEST(Daemon, RetriesAnUnrepeatableServiceCallAfterARefusedConnection)
 {
     cluster.start();
     cluster.kill(cluster.service(0));
@@ -305,7 +310,7 @@
     LONGS_EQUAL(1, cluster.service(1).runsOf("w"));
 }
 
-TEST(Daemon, SaysNotRunWhenNoEndpointOfAServiceCanBeReached)
+TEST(Daemon, ReportsNotRunWhenNoServiceEndpointCanBeReached)
 {
     cluster.start();
     cluster.kill(cluster.service(0));
@@ -315,7 +320,7 @@
     LONGS_EQUAL(0, cluster.service(0).runsOf("w") + cluster.service(1).runsOf("w"));
 }
 
-TEST(Daemon, EndsASilentServiceCallAtItsDeadline)
+TEST(Daemon, TimesOutASilentServiceCallAtItsDeadline)
 {
     cluster.settings.services.front().deadline = Milliseconds { 100 };
     cluster.start();
@@ -326,7 +331,7 @@
     STRCMP_EQUAL("unknown", header(result, "Lupinknot-Outcome").c_str());
 }
 
-TEST(Daemon, CutsOffNoAnswerInAPlannedStop)
+TEST(Daemon, CompletesAnswersInProgressDuringAPlannedStop)
 {
     cluster.start();
     auto caller = cluster.caller();
@@ -336,43 +341,43 @@
         if (position == 10)
             stopper = std::thread([this] { cluster.daemon().stop(); });
     };
-    checkWhole(cluster.run(caller));
+    checkComplete(cluster.run(caller));
     stopper.join();
 }
 
-TEST(Daemon, ReportsNotReadyInAPlannedStop)
+TEST(Daemon, ReportsNotReadyAfterAPlannedStop)
 {
     cluster.start();
-    LONGS_EQUAL(200, cluster.ask("/readyz").response.status);
+    LONGS_EQUAL(200, cluster.fetchAdmin("/readyz").response.status);
     cluster.daemon().stop();
-    LONGS_EQUAL(503, cluster.ask("/readyz").response.status);
+    LONGS_EQUAL(503, cluster.fetchAdmin("/readyz").response.status);
 }
 
-TEST(Daemon, ShowsItsMetrics)
+TEST(Daemon, ExposesMetrics)
 {
     cluster.start();
     cluster.run(cluster.caller());
-    const auto metrics = cluster.ask("/metrics").response.body;
+    const auto metrics = cluster.fetchAdmin("/metrics").response.body;
     STRCMP_CONTAINS("lupinknot_tokens_total 20", metrics.c_str());
     STRCMP_CONTAINS("lupinknot_endpoint_in_flight{endpoint=\"e1\"} 0", metrics.c_str());
 }
 
 // A caller refused as not run is told when to retry; the retry with the same key must not get the earlier refusal.
-TEST(Daemon, TakesAKeyAgainThatWasRefusedAsNotRun)
+TEST(Daemon, AcceptsAKeyAgainAfterItWasRefusedAsNotRun)
 {
     cluster.start();
     cluster.engine(0).control(R"({"refuse":true})");
     cluster.engine(1).control(R"({"refuse":true})");
     const HttpHeaders keyed { { "Idempotency-Key", "k" }, { "Lupinknot-Repeatable", "false" } };
-    const auto refused = cluster.post("/v1/completions", wholeBody, keyed);
+    const auto refused = cluster.post("/v1/completions", nonStreamingBody, keyed);
     STRCMP_EQUAL("not-run", header(refused, "Lupinknot-Outcome").c_str());
     cluster.engine(0).control(R"({"refuse":false})");
     cluster.engine(1).control(R"({"refuse":false})");
-    LONGS_EQUAL(200, cluster.post("/v1/completions", wholeBody, keyed).response.status);
+    LONGS_EQUAL(200, cluster.post("/v1/completions", nonStreamingBody, keyed).response.status);
     LONGS_EQUAL(1, cluster.engineRequests());
 }
 
-TEST(Daemon, TakesAServiceKeyAgainThatWasRefusedAsNotRun)
+TEST(Daemon, AcceptsAServiceKeyAgainAfterItWasRefusedAsNotRun)
 {
     cluster.settings.ejection.initial = Milliseconds { 1 };
     cluster.start();
--- a/test/EndpointStateTest.cpp
+++ b/test/EndpointStateTest.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr Milliseconds initial { 100 };
-constexpr Milliseconds longest { 300 };
+constexpr Milliseconds initialEjection { 100 };
+constexpr Milliseconds maxEjection { 300 };
 
 Milliseconds at(std::int64_t milliseconds) { return Milliseconds { milliseconds }; }
 
@@ -16,7 +16,7 @@
 
 TEST_GROUP(EndpointState)
 {
-    EndpointState endpoint { { "e1", "z1", "127.0.0.1", 1, { "story" } }, {}, { initial, longest } };
+    EndpointState endpoint { { "e1", "z1", "127.0.0.1", 1, { "story" } }, {}, { initialEjection, maxEjection } };
 
     void failAt(std::int64_t now, FailureKind failure = FailureKind::ConnectionLost)
     {
@@ -25,7 +25,7 @@
     }
 };
 
-TEST(EndpointState, IsEjectedAfterAFailureAndReturnsByItself)
+TEST(EndpointState, IsEjectedForALimitedTimeAfterAFailure)
 {
     failAt(1000);
     CHECK_FALSE(endpoint.isEligible(at(1099)));
@@ -40,7 +40,7 @@
     CHECK(endpoint.isEligible(at(1100)));
 }
 
-TEST(EndpointState, DoublesItsEjectionUpToTheLongest)
+TEST(EndpointState, DoublesEjectionTimeUpToTheMaximum)
 {
     failAt(1000);
     failAt(2000);
@@ -51,7 +51,7 @@
     CHECK(endpoint.isEligible(at(3300)));
 }
 
-TEST(EndpointState, StartsOverWithTheShortEjectionAfterASuccess)
+TEST(EndpointState, ResetsEjectionTimeAfterASuccess)
 {
     failAt(1000);
     endpoint.workStarted();
@@ -60,7 +60,7 @@
     CHECK(endpoint.isEligible(at(2100)));
 }
 
-TEST(EndpointState, StaysEligibleWhenAFailureDoesNotBlameIt)
+TEST(EndpointState, StaysEligibleAfterAFailureThatIsNotItsFault)
 {
     failAt(1000, FailureKind::FirstTokenTimeout);
     CHECK(endpoint.isEligible(at(1000)));
@@ -83,7 +83,7 @@
     CHECK(endpoint.isEligible(at(1020)));
 }
 
-TEST(EndpointState, GetsNoNewWorkAndNoProbeWhileLeaving)
+TEST(EndpointState, GetsNoNewWorkAndNoProbeWhileShuttingDown)
 {
     endpoint.setListing(EndpointListing::Leaving);
     CHECK_FALSE(endpoint.isEligible(at(0)));
--- a/test/EngineProtocolTest.cpp
+++ b/test/EngineProtocolTest.cpp
@@ -24,7 +24,7 @@
 
 TEST_GROUP(EngineProtocol) {};
 
-TEST(EngineProtocol, SendsThePromptAsItCameAtFirst)
+TEST(EngineProtocol, FirstAttemptSendsThePromptUnchanged)
 {
     const auto body = nlohmann::json::parse(engineRequest(textRequest(), { "g:1", {} }, std::nullopt).body);
     STRCMP_EQUAL("a b", body["prompt"].get<std::string>().c_str());
@@ -33,7 +33,7 @@
     CHECK(body["return_token_ids"].get<bool>());
 }
 
-TEST(EngineProtocol, ResumesWithIdsAndWhatIsLeftOfItsLimits)
+TEST(EngineProtocol, ResumedAttemptSendsTokenIdsAndRemainingLimits)
 {
     const auto message = engineRequest(textRequest(), { "g:2", {} }, EnginePrefix { { 1, 2 }, { 3, 4, 5 } });
     const auto body = nlohmann::json::parse(message.body);
@@ -42,7 +42,7 @@
     LONGS_EQUAL(103, body["seed"].get<int>());
 }
 
-TEST(EngineProtocol, ReadsATokenWithThePromptsIds)
+TEST(EngineProtocol, ParsesTokensAndPromptTokenIds)
 {
     const auto event = parseEngineEvent(
         R"({"prompt_token_ids":[1,2],"choices":[{"text":"ab","token_ids":[7,8],"position":0,"finish_reason":null}]})");
@@ -54,7 +54,7 @@
     CHECK_FALSE(event->finishReason.has_value());
 }
 
-TEST(EngineProtocol, RefusesWhatIsNotAnEvent)
+TEST(EngineProtocol, RejectsMalformedEvents)
 {
     const char* cases[] = { "{", "[]", "{}", R"({"choices":[]})", R"({"choices":[1]})",
         R"({"choices":[{"token_ids":[1]}]})", R"({"choices":[{"text":"a","token_ids":["x"]}]})",
@@ -64,4 +64,4 @@
         CHECK_TEXT(!parseEngineEvent(text), text);
 }
 
-TEST(EngineProtocol, KnowsTheClosingMarker) { CHECK(parseEngineEvent("[DONE]")->isDone); }
+TEST(EngineProtocol, RecognisesTheEndMarker) { CHECK(parseEngineEvent("[DONE]")->isDone); }
--- a/test/JournalTokensTest.cpp
+++ b/test/JournalTokensTest.cpp
@@ -12,44 +12,44 @@
     TokenTexts received;
 
     // The tokens of one stream as the receiver decodes them: "handle:", then the id and text of each token.
-    std::string passOn(const std::vector<Token>& tokens, std::size_t* bytes = nullptr)
+    std::string encodeAndDecode(const std::vector<Token>& tokens, std::size_t* bytes = nullptr)
     {
         wire::JournalBatch batch;
         addTokens(batch, sent, 7, tokens.data(), tokens.size());
         if (bytes)
             *bytes = batch.ByteSizeLong();
         std::string arrived;
-        readTokens(batch, received, [&arrived](std::uint32_t handle, const std::vector<Token>& got) {
+        readTokens(batch, received, [&arrived](std::uint32_t handle, const std::vector<Token>& decoded) {
             arrived += std::to_string(handle) + ":";
-            for (const auto& token : got)
+            for (const auto& token : decoded)
                 arrived += std::to_string(token.id) + token.text + " ";
         });
         return arrived;
     }
 };
 
-TEST(JournalTokens, PassesIdsAndTextsOn)
+TEST(JournalTokens, TransmitsIdsAndTexts)
 {
-    STRCMP_EQUAL("7:1 the 2 rain 3 ", passOn({ { 1, " the" }, { 2, " rain" }, { 3, "" } }).c_str());
+    STRCMP_EQUAL("7:1 the 2 rain 3 ", encodeAndDecode({ { 1, " the" }, { 2, " rain" }, { 3, "" } }).c_str());
 }
 
-TEST(JournalTokens, SendsATextOnceForItsId)
+TEST(JournalTokens, SendsAnUnchangedTextOfAnIdOnlyOnce)
 {
     std::size_t first = 0;
     std::size_t second = 0;
-    passOn({ { 1, " thunderstorm" } }, &first);
-    STRCMP_EQUAL("7:1 thunderstorm ", passOn({ { 1, " thunderstorm" } }, &second).c_str());
+    encodeAndDecode({ { 1, " thunderstorm" } }, &first);
+    STRCMP_EQUAL("7:1 thunderstorm ", encodeAndDecode({ { 1, " thunderstorm" } }, &second).c_str());
     CHECK(second + 13 <= first);
 }
 
-TEST(JournalTokens, SendsAnotherTextOfTheSameId)
+TEST(JournalTokens, SendsAChangedTextOfAnIdAgain)
 {
-    passOn({ { 1, " the" } });
-    STRCMP_EQUAL("7:1The ", passOn({ { 1, "The" } }).c_str());
-    STRCMP_EQUAL("7:1The ", passOn({ { 1, "The" } }).c_str());
+    encodeAndDecode({ { 1, " the" } });
+    STRCMP_EQUAL("7:1The ", encodeAndDecode({ { 1, "The" } }).c_str());
+    STRCMP_EQUAL("7:1The ", encodeAndDecode({ { 1, "The" } }).c_str());
 }
 
-TEST(JournalTokens, RefusesColumnsThatDoNotFitTogether)
+TEST(JournalTokens, RejectsInconsistentColumns)
 {
     wire::JournalBatch batch;
     batch.add_token_handles(1);
--- a/test/KeyPlacementTest.cpp
+++ b/test/KeyPlacementTest.cpp
@@ -32,7 +32,7 @@
     }
 };
 
-TEST(KeyPlacement, WorkThatItsVmStillRunsIsServedThere)
+TEST(KeyPlacement, ForwardsToTheVmThatStillRunsTheWork)
 {
     for (const bool isRepeatable : { true, false }) {
         const auto placement = placeByRecord(record(isRepeatable), runner(7));
@@ -41,7 +41,7 @@
     }
 }
 
-TEST(KeyPlacement, WorkThatMustNotBeRepeatedIsRefusedWhileItsVmMayStillRunIt)
+TEST(KeyPlacement, RefusesUnrepeatableWorkThatMayStillRun)
 {
     const auto placement = placeByRecord(record(false), std::nullopt);
     expect(Kind::Refuse, placement);
@@ -49,20 +49,20 @@
         placement.record.has_value(), "a record that is not taken over should not be moved into the placement");
 }
 
-TEST(KeyPlacement, RepeatableWorkIsTakenOverFromAVmThatCannotBeReached)
+TEST(KeyPlacement, TakesRepeatableWorkOverFromAnUnreachableVm)
 {
     const auto placement = placeByRecord(record(true), std::nullopt);
     expect(Kind::TakeOver, placement);
     CHECK(placement.record.has_value());
 }
 
-TEST(KeyPlacement, AVmThatWasRestartedIsNotRunningItsWorkAnyMore)
+TEST(KeyPlacement, TakesWorkOverFromARestartedVm)
 {
     for (const bool isRepeatable : { true, false })
         expect(Kind::TakeOver, placeByRecord(record(isRepeatable), runner(8)));
 }
 
-TEST(KeyPlacement, FinishedWorkIsGivenFromTheRecord)
+TEST(KeyPlacement, ServesFinishedWorkFromTheRecord)
 {
     auto finished = record(false);
     finished.finishReason = FinishReason {};
--- a/test/TestCluster.cpp
+++ b/test/TestCluster.cpp
@@ -11,13 +11,13 @@
 using boost::asio::ip::tcp;
 
 constexpr Milliseconds callTimeout { 30000 };
-constexpr Milliseconds engineStep { 2 };
+constexpr Milliseconds engineTokenInterval { 2 };
 
 EngineStandInSettings engineSettings(std::size_t index)
 {
     EngineStandInSettings settings;
     settings.name = "e" + std::to_string(index + 1);
-    settings.step = engineStep;
+    settings.step = engineTokenInterval;
     settings.stallChance = 0;
     settings.seed = index + 1;
     return settings;
@@ -108,7 +108,7 @@
     for (std::size_t i = 0; i < m_daemons.size(); ++i) {
         if (!m_daemons[i])
             continue;
-        const auto status = nlohmann::json::parse(ask("/v1/status", i).response.body, nullptr, false);
+        const auto status = nlohmann::json::parse(fetchAdmin("/v1/status", i).response.body, nullptr, false);
         if (status.is_object() && status["generations_running"].get<std::size_t>())
             return i;
     }
@@ -123,7 +123,7 @@
     for (std::size_t i = 0; i < m_daemons.size(); ++i) {
         if (!m_daemons[i])
             continue;
-        const auto status = nlohmann::json::parse(ask("/v1/status", i).response.body, nullptr, false);
+        const auto status = nlohmann::json::parse(fetchAdmin("/v1/status", i).response.body, nullptr, false);
         if (!status.is_object() || status["peers"].size() + 1 != alive)
             return false;
     }
@@ -174,7 +174,7 @@
     return fetch(m_load.daemons[vm].callers, { "POST", target, std::move(headers), body }, callTimeout);
 }
 
-HttpFetchResult TestCluster::ask(const std::string& adminTarget, std::size_t vm) const
+HttpFetchResult TestCluster::fetchAdmin(const std::string& adminTarget, std::size_t vm) const
 {
     return fetch(m_load.daemons[vm].operators, { "GET", adminTarget, {}, {} }, callTimeout);
 }
--- a/test/TestCluster.h
+++ b/test/TestCluster.h
@@ -51,7 +51,7 @@
     GenerationResult run(GenerationCallerOptions) const;
     HttpFetchResult post(
         const std::string& target, const std::string& body, HttpHeaders headers = {}, std::size_t vm = 0) const;
-    HttpFetchResult ask(const std::string& adminTarget, std::size_t vm = 0) const;
+    HttpFetchResult fetchAdmin(const std::string& adminTarget, std::size_t vm = 0) const;
     // Number of requests that all engines have received.
     std::size_t engineRequests() const;
 
--- a/test/VmLossTest.cpp
+++ b/test/VmLossTest.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr std::size_t vms = 3;
+constexpr std::size_t vmCount = 3;
 
 const std::string body = R"({"model":"story","prompt":[11,12,13],"max_tokens":20})";
 
-void checkWhole(const GenerationResult& result)
+void checkComplete(const GenerationResult& result)
 {
     const auto text = "status " + std::to_string(result.status) + ", delivered " + std::to_string(result.delivered)
         + ", repeated " + std::to_string(result.repeated) + ", mixed " + std::to_string(result.mixed) + ", outcome "
@@ -27,7 +27,7 @@
     return std::string(result.response.headers.find(name).value_or("none"));
 }
 
-HttpHeaders unrepeatable(const std::string& key)
+HttpHeaders unrepeatableHeaders(const std::string& key)
 {
     return { { "Idempotency-Key", key }, { "Lupinknot-Repeatable", "false" } };
 }
@@ -36,7 +36,7 @@
 
 TEST_GROUP(VmLoss)
 {
-    TestCluster cluster { 2, vms };
+    TestCluster cluster { 2, vmCount };
 
     void setup() override
     {
@@ -47,7 +47,7 @@
     }
 
     // Runs a keyed generation and kills its VM in the middle.
-    GenerationResult runAndKill(GenerationCallerOptions caller)
+    GenerationResult runAndKillItsVm(GenerationCallerOptions caller)
     {
         std::thread killer;
         caller.maxTokens = 200;
@@ -61,39 +61,39 @@
     }
 };
 
-TEST(VmLoss, KeepsAnAnswerWholeAndAttachesToTheRunningStream)
+TEST(VmLoss, CompletesAnAnswerByAttachingToTheRunningStream)
 {
     cluster.start();
-    checkWhole(runAndKill(cluster.caller("k")));
+    checkComplete(runAndKillItsVm(cluster.caller("k")));
     LONGS_EQUAL(1, cluster.engineRequests());
 }
 
-TEST(VmLoss, ResumesByPrefixWhereTheStreamIsGone)
+TEST(VmLoss, ResumesFromThePrefixWhenTheStreamHasEnded)
 {
     cluster.settings.journal.keepStream = Milliseconds { 0 };
     cluster.start();
-    checkWhole(runAndKill(cluster.caller("k")));
+    checkComplete(runAndKillItsVm(cluster.caller("k")));
     LONGS_EQUAL(2, cluster.engineRequests());
 }
 
-TEST(VmLoss, GivesAFinishedAnswerFromTheReplica)
+TEST(VmLoss, ServesAFinishedAnswerFromTheReplica)
 {
     cluster.start();
     const auto first = cluster.run(cluster.caller("k"));
-    checkWhole(first);
+    checkComplete(first);
     cluster.killVm(first.daemon);
     auto again = cluster.caller("k");
-    again.firstDaemon = (first.daemon + 1) % vms;
-    checkWhole(cluster.run(again));
+    again.firstDaemon = (first.daemon + 1) % vmCount;
+    checkComplete(cluster.run(again));
     LONGS_EQUAL(1, cluster.engineRequests());
 }
 
-TEST(VmLoss, RunsAKeyOnceThatComesToEveryVmAtOnce)
+TEST(VmLoss, RunsAKeyOnceWhenAllVmsGetItAtOnce)
 {
     cluster.start();
     std::vector<std::thread> threads;
-    std::vector<GenerationResult> results(vms);
-    for (std::size_t i = 0; i < vms; ++i) {
+    std::vector<GenerationResult> results(vmCount);
+    for (std::size_t i = 0; i < vmCount; ++i) {
         threads.emplace_back([this, i, &results] {
             auto caller = cluster.caller("k");
             caller.firstDaemon = i;
@@ -103,47 +103,47 @@
     for (auto& thread : threads)
         thread.join();
     for (const auto& result : results)
-        checkWhole(result);
+        checkComplete(result);
     LONGS_EQUAL(1, cluster.engineRequests());
 }
 
-TEST(VmLoss, RunsUnrepeatableWorkOnceThroughEveryVm)
+TEST(VmLoss, RunsUnrepeatableWorkOnceWhenEveryVmIsAsked)
 {
     cluster.start();
-    for (std::size_t i = 0; i < vms; ++i)
-        LONGS_EQUAL(200, cluster.post("/v1/completions", body, unrepeatable("k"), i).response.status);
+    for (std::size_t i = 0; i < vmCount; ++i)
+        LONGS_EQUAL(200, cluster.post("/v1/completions", body, unrepeatableHeaders("k"), i).response.status);
     LONGS_EQUAL(1, cluster.engineRequests());
 }
 
-TEST(VmLoss, RefusesUnrepeatableWorkAsNotRunWhenNobodyCanTakeNoteOfIt)
+TEST(VmLoss, RefusesUnrepeatableWorkAsNotRunWithoutAReplica)
 {
     cluster.start();
     cluster.killVm(1);
     cluster.killVm(2);
     CHECK(becomesTrue([this] { return cluster.areVmsLinked(); }));
-    const auto result = cluster.post("/v1/completions", body, unrepeatable("k"));
+    const auto result = cluster.post("/v1/completions", body, unrepeatableHeaders("k"));
     LONGS_EQUAL(503, result.response.status);
     STRCMP_EQUAL("not-run", header(result, "Lupinknot-Outcome").c_str());
     LONGS_EQUAL(0, cluster.engineRequests());
 }
 
-TEST(VmLoss, NeverRunsUnrepeatableWorkAgainAfterItsVmIsLost)
+TEST(VmLoss, NeverRerunsUnrepeatableWorkAfterItsVmIsLost)
 {
     cluster.start();
     // Neither engine sends a first token, so the work may have started and its progress is unknown.
     cluster.engine(0).control(R"({"pause_at":0,"pause_ms":60000})");
     cluster.engine(1).control(R"({"pause_at":0,"pause_ms":60000})");
-    std::thread asking([this] { cluster.post("/v1/completions", body, unrepeatable("k")); });
+    std::thread callerThread([this] { cluster.post("/v1/completions", body, unrepeatableHeaders("k")); });
     CHECK(becomesTrue([this] { return cluster.engineRequests() == 1; }));
     const auto runner = cluster.runningVm();
     cluster.killVm(runner);
-    asking.join();
-    const auto result = cluster.post("/v1/completions", body, unrepeatable("k"), (runner + 1) % vms);
+    callerThread.join();
+    const auto result = cluster.post("/v1/completions", body, unrepeatableHeaders("k"), (runner + 1) % vmCount);
     STRCMP_EQUAL("unknown", header(result, "Lupinknot-Outcome").c_str());
     LONGS_EQUAL(1, cluster.engineRequests());
 }
 
-TEST(VmLoss, FindsAKeyThatARestartedVmHasForgotten)
+TEST(VmLoss, FindsAKeyAfterItsVmWasRestarted)
 {
     cluster.start();
     const auto first = cluster.run(cluster.caller("k"));
@@ -151,19 +151,19 @@
     cluster.restartVm(first.daemon);
     auto again = cluster.caller("k");
     again.firstDaemon = first.daemon;
-    checkWhole(cluster.run(again));
+    checkComplete(cluster.run(again));
     LONGS_EQUAL(1, cluster.engineRequests());
 }
 
-TEST(VmLoss, GoesOnUnprotectedWhenAllOtherVmsAreLost)
+TEST(VmLoss, ContinuesUnprotectedWhenAllOtherVmsAreLost)
 {
     cluster.start();
     cluster.killVm(1);
     cluster.killVm(2);
-    checkWhole(cluster.run(cluster.caller("k")));
+    checkComplete(cluster.run(cluster.caller("k")));
 }
 
-TEST(VmLoss, RefusesWithoutAnotherVmWhereTheSettingsSaySo)
+TEST(VmLoss, RefusesWithoutAReplicaWhenConfigured)
 {
     cluster.settings.journal.goOnUnprotected = false;
     cluster.start();
@@ -175,7 +175,7 @@
 }
 
 // A VM that accepts callers before it is linked to the others would treat every key as new.
-TEST(VmLoss, TakesNoKeyForNewBeforeItHasHeardOfTheOthers)
+TEST(VmLoss, TreatsNoKeyAsNewBeforeItIsLinked)
 {
     cluster.start();
     const auto first = cluster.run(cluster.caller("k"));
@@ -183,15 +183,15 @@
     cluster.startVm(first.daemon);
     auto again = cluster.caller("k");
     again.firstDaemon = first.daemon;
-    checkWhole(cluster.run(again));
+    checkComplete(cluster.run(again));
     LONGS_EQUAL(1, cluster.engineRequests());
 }
 
-TEST(VmLoss, RunsAServiceCallWithAKeyOnceThroughEveryVm)
+TEST(VmLoss, RunsAKeyedServiceCallOnceWhenEveryVmIsAsked)
 {
     cluster.start();
-    for (std::size_t i = 0; i < vms; ++i) {
-        auto headers = unrepeatable("burner");
+    for (std::size_t i = 0; i < vmCount; ++i) {
+        auto headers = unrepeatableHeaders("burner");
         headers.add("X-Work-Id", "w");
         const auto result = cluster.post("/thumbs/fire", "on", headers, i);
         LONGS_EQUAL(200, result.response.status);
@@ -199,27 +199,27 @@
     LONGS_EQUAL(1, cluster.service(0).runsOf("w") + cluster.service(1).runsOf("w"));
 }
 
-TEST(VmLoss, NeverRunsAServiceCallAgainWhoseVmIsLost)
+TEST(VmLoss, NeverRerunsAServiceCallAfterItsVmIsLost)
 {
     cluster.start();
     cluster.service(0).control(R"({"delay_ms":3000})");
     cluster.service(1).control(R"({"delay_ms":3000})");
-    auto headers = unrepeatable("burner");
+    auto headers = unrepeatableHeaders("burner");
     headers.add("X-Work-Id", "w");
     const auto runs = [this] { return cluster.service(0).runsOf("w") + cluster.service(1).runsOf("w"); };
-    std::thread asking([&] { cluster.post("/thumbs/fire", "on", headers); });
+    std::thread callerThread([&] { cluster.post("/thumbs/fire", "on", headers); });
     CHECK(becomesTrue([&] { return runs() == 1; }));
     // Whichever VM runs the call, killing two of the three VMs either loses the call or leaves its record on the third.
     cluster.killVm(1);
     cluster.killVm(2);
-    asking.join();
+    callerThread.join();
     const auto result = cluster.post("/thumbs/fire", "on", headers);
     CHECK(result.response.status != 200 || runs() == 1);
     LONGS_EQUAL(1, runs());
 }
 
 // A caller can disconnect before the call that serves it has started.
-TEST(VmLoss, SurvivesCallersWhoLeaveAtOnce)
+TEST(VmLoss, SurvivesCallersWhoDisconnectAtOnce)
 {
     cluster.start();
     for (int i = 0; i < 100; ++i) {
@@ -231,55 +231,55 @@
         service.send("GET /thumbs HTTP/1.1\r\nHost: h\r\n\r\n");
         service.close();
     }
-    checkWhole(cluster.run(cluster.caller("after")));
+    checkComplete(cluster.run(cluster.caller("after")));
 }
 
 // The old record of a key is dropped and a new one opened in the same batch; the drop must not remove the new record.
-TEST(VmLoss, HoldsTheRecordOfAKeyThatWasRefusedBefore)
+TEST(VmLoss, KeepsTheNewRecordOfAKeyThatWasRefusedBefore)
 {
     cluster.start();
     cluster.engine(0).control(R"({"refuse":true})");
     cluster.engine(1).control(R"({"refuse":true})");
-    LONGS_EQUAL(503, cluster.post("/v1/completions", body, unrepeatable("k")).response.status);
+    LONGS_EQUAL(503, cluster.post("/v1/completions", body, unrepeatableHeaders("k")).response.status);
     cluster.engine(0).control(R"({"refuse":false})");
     cluster.engine(1).control(R"({"refuse":false})");
     auto caller = cluster.caller("k");
     caller.repeatable = false;
     const auto first = cluster.run(caller);
-    checkWhole(first);
+    checkComplete(first);
     const auto dash = first.generation.find('-');
     const auto runner = std::stoul(first.generation.substr(2, dash - 2)) - 1;
     cluster.killVm(runner);
-    caller.firstDaemon = (runner + 1) % vms;
-    checkWhole(cluster.run(caller));
+    caller.firstDaemon = (runner + 1) % vmCount;
+    checkComplete(cluster.run(caller));
     LONGS_EQUAL(1, cluster.engineRequests());
 }
 
 // A VM that takes over holds at least the tokens that callers saw, because callers get no token before a replica holds
 // it.
-TEST(VmLoss, ShowsNoTokenBeforeAnotherVmHoldsIt)
+TEST(VmLoss, ShowsNoTokenBeforeAReplicaHoldsIt)
 {
-    TestCluster two { 1, 2 };
-    two.settings.journal.flushInterval = Milliseconds { 600000 };
-    two.start();
-    std::atomic<std::size_t> shown { 0 };
+    TestCluster twoVms { 1, 2 };
+    twoVms.settings.journal.flushInterval = Milliseconds { 600000 };
+    twoVms.start();
+    std::atomic<std::size_t> tokensShown { 0 };
     GenerationResult result;
-    std::thread asking([&] {
-        auto caller = two.caller("k");
+    std::thread callerThread([&] {
+        auto caller = twoVms.caller("k");
         caller.maxTokens = 200;
-        caller.onToken = [&shown](std::size_t, const Token&) { ++shown; };
-        result = two.run(caller);
+        caller.onToken = [&tokensShown](std::size_t, const Token&) { ++tokensShown; };
+        result = twoVms.run(caller);
     });
     std::size_t runner = 2;
     CHECK(becomesTrue([&] {
-        runner = two.runningVm();
+        runner = twoVms.runningVm();
         return runner < 2;
     }));
-    CHECK(becomesTrue([&two] { return two.engine(0).work().decodedTokens == 200; }));
-    const auto shownBefore = shown.load();
+    CHECK(becomesTrue([&twoVms] { return twoVms.engine(0).work().decodedTokens == 200; }));
+    const auto shownBefore = tokensShown.load();
     // Without the replica the generation continues unprotected.
-    two.killVm(1 - runner);
-    asking.join();
+    twoVms.killVm(1 - runner);
+    callerThread.join();
     LONGS_EQUAL(0, shownBefore);
-    checkWhole(result);
+    checkComplete(result);
 }
