--- a/src/daemon/Cluster.cpp
+++ b/src/daemon/Cluster.cpp
@@ -124,7 +124,7 @@
         const std::lock_guard lock(m_mutex);
         m_replicaVms[source.get()] = vm;
     }
-    logDebug(LogPart::Journal, "a generation is replicated to VM " + vm + ".");
+    logDebug(LogComponent::Journal, "a generation is replicated to VM " + vm + ".");
     link->add(source);
 }
 
@@ -282,7 +282,7 @@
     if (m_hasJoined)
         return true;
     const bool hasAll = m_network->up().size() >= m_settings.peers.size();
-    m_hasJoined = hasAll || m_clock.now() - m_startedAt >= m_settings.cluster.silence;
+    m_hasJoined = hasAll || m_clock.now() - m_startedAt >= m_settings.cluster.silenceTimeout;
     return m_hasJoined;
 }
 
@@ -426,7 +426,8 @@
             refused.insert(item.handle());
     }
     if (!applyTokens(peer, batch, refused)) {
-        logError(LogPart::Journal, "the journal batch of VM " + peer.vm + " is malformed; it is not acknowledged.");
+        logError(
+            LogComponent::Journal, "the journal batch of VM " + peer.vm + " is malformed; it is not acknowledged.");
         return;
     }
     for (const auto& item : batch.items()) {
--- a/src/daemon/KeyedRequestRouter.cpp
+++ b/src/daemon/KeyedRequestRouter.cpp
@@ -75,7 +75,8 @@
 void KeyedRequestRouter::forward(const std::shared_ptr<HttpExchange>& exchange, const std::string& key,
     const KeyedRequestActions& actions, unsigned tries, const PeerIdentity& target) const
 {
-    logInfo(LogPart::Route, "a request with a key is forwarded to VM " + target.vm + ", which is responsible for it.");
+    logInfo(
+        LogComponent::Route, "a request with a key is forwarded to VM " + target.vm + ", which is responsible for it.");
     const auto forwarded = std::make_shared<ForwardedRequest>(m_context, exchange, target.vm);
     // The links between VMs detect a loss slightly later than the call does.
     forwarded->onLost([this, exchange, key, actions, tries] {
--- a/src/daemon/LiveGeneration.cpp
+++ b/src/daemon/LiveGeneration.cpp
@@ -100,9 +100,9 @@
     m_graceTimer.cancel();
     const bool wasOver = m_driver.isOver();
     const auto now = m_context.clock.now();
-    m_driver.revive(now, now + m_request.timeLimit);
+    m_driver.resumeAbandoned(now, now + m_request.timeLimit);
     if (wasOver && !m_driver.isOver()) {
-        logInfo(LogPart::Caller,
+        logInfo(LogComponent::Caller,
             "generation " + m_id + " is resumed at position " + std::to_string(m_driver.generation().length())
                 + " because a caller has returned.");
         m_endedAt.reset();
@@ -185,7 +185,7 @@
         return;
     }
     m_endpoint = endpoint;
-    m_driver.startAttached({ attempt->endpoint, endpoint->pulse() }, now);
+    m_driver.startAttached({ attempt->endpoint, endpoint->liveness() }, now);
 }
 
 std::size_t LiveGeneration::visibleLength() const
@@ -259,10 +259,10 @@
 void LiveGeneration::journalUnprotected()
 {
     const std::lock_guard lock(m_mutex);
-    const bool mayContinue = m_request.repeatable && m_context.settings.journal.goOnUnprotected;
+    const bool mayContinue = m_request.repeatable && m_context.settings.journal.continuesWithoutPeers;
     // A generation that has started continues: an answer that could be lost is better for the caller than none.
     const bool mustStop = !m_driver.isStarted() && !mayContinue;
-    logWarning(LogPart::Journal,
+    logWarning(LogComponent::Journal,
         "generation " + m_id + (mustStop ? " is refused" : " continues without a replica")
             + ": no other VM can be reached.");
     m_isUnprotected = true;
@@ -275,7 +275,7 @@
 {
     m_context.cluster.detach(*this);
     const std::lock_guard lock(m_mutex);
-    logWarning(LogPart::Journal, "generation " + m_id + " is stopped because another VM runs it now.");
+    logWarning(LogComponent::Journal, "generation " + m_id + " is stopped because another VM runs it now.");
     m_driver.stop(GenerationErrorCode::TakenOver);
     afterEvent();
 }
@@ -322,7 +322,7 @@
             continue;
         }
         m_context.metrics.refusedTokens.Increment();
-        logInfo(LogPart::Attempt,
+        logInfo(LogComponent::Attempt,
             attemptDescription(attempt) + ": token refused at position " + std::to_string(position - 1) + ": "
                 + std::string(nameIn(appendResultNames, result)) + ".");
         break;
@@ -351,7 +351,7 @@
     if (!endpoint)
         return std::nullopt;
     m_endpoint = endpoint;
-    return EndpointChoice { endpoint->settings().name, endpoint->pulse() };
+    return EndpointChoice { endpoint->settings().name, endpoint->liveness() };
 }
 
 void LiveGeneration::startAttempt(const AttemptOrder& order)
@@ -370,7 +370,7 @@
     }
     m_journaledAttempt = JournaledAttempt { order.number, order.endpoint, streamId(order.number), order.position };
     m_attempt = std::make_shared<EngineAttempt>(shared_from_this(), order, order.position);
-    const auto keep = isJournaled() ? m_context.settings.journal.keepStream : Milliseconds::zero();
+    const auto keep = isJournaled() ? m_context.settings.journal.detachedRunTime : Milliseconds::zero();
     const auto message = engineRequest(m_request, { streamId(order.number), keep }, prefix());
     m_attempt->start(m_context.calls, m_endpoint->settings().socketAddress(), message, callTimeout);
 }
@@ -392,7 +392,7 @@
     if (!end.failure)
         return;
     m_context.metrics.countFailure(*end.failure);
-    logWarning(LogPart::Attempt,
+    logWarning(LogComponent::Attempt,
         attemptDescription(end.number) + " on " + end.endpoint + " failed at position "
             + std::to_string(m_driver.generation().length()) + ": " + std::string(traitsOf(*end.failure).name) + ".");
 }
@@ -404,7 +404,7 @@
     m_context.metrics.resumeAfterDetection.Observe(static_cast<double>(report.sinceDetection.count()));
     m_records.back().resumeGap = report.gap;
     m_records.back().resumeAfterDetection = report.sinceDetection;
-    logInfo(LogPart::Attempt,
+    logInfo(LogComponent::Attempt,
         attemptDescription(report.number) + " resumed at position " + std::to_string(report.position) + ", "
             + std::to_string(report.gap.count()) + " ms after the last token and "
             + std::to_string(report.sinceDetection.count()) + " ms after the loss was detected.");
@@ -417,7 +417,7 @@
 {
     class IgnoringListener final : public HttpCallListener {
     public:
-        void headArrived(unsigned, const HttpHeaders&) override { }
+        void headerArrived(unsigned, const HttpHeaders&) override { }
         void bodyArrived(std::string_view) override { }
         void ended() override { }
         void failed(HttpCallFailure, const std::string&) override { }
@@ -449,7 +449,7 @@
     if (m_driver.isOver() && !m_endedAt) {
         m_endedAt = m_context.clock.now();
         if (const auto& error = m_driver.error())
-            logWarning(LogPart::Caller,
+            logWarning(LogComponent::Caller,
                 "generation " + m_id + " was given up: " + error->message + " ("
                     + std::string(nameIn(runOutcomeNames, error->outcome)) + ").");
     }
@@ -513,7 +513,8 @@
     m_context.metrics.callersDisconnected.Increment();
     const bool canCallerReturn = !m_request.idempotencyKey.empty();
     if (canCallerReturn && !m_request.repeatable) {
-        logInfo(LogPart::Caller, "generation " + m_id + " continues without a caller because it must not be repeated.");
+        logInfo(LogComponent::Caller,
+            "generation " + m_id + " continues without a caller because it must not be repeated.");
         return;
     }
     const auto grace = canCallerReturn ? m_context.settings.generation.detachedGrace : Milliseconds::zero();
@@ -535,7 +536,7 @@
 {
     if (!m_watchers.empty() || m_driver.isOver())
         return;
-    logInfo(LogPart::Caller,
+    logInfo(LogComponent::Caller,
         "generation " + m_id + " is cancelled at position " + std::to_string(m_driver.generation().length())
             + " because its caller has disconnected.");
     m_driver.abandon();
--- a/test/DaemonTest.cpp
+++ b/test/DaemonTest.cpp
@@ -261,7 +261,7 @@
 
 TEST(Daemon, RejectsGenerationsBeyondTheLimit)
 {
-    cluster.settings.generation.maxHeld = 1;
+    cluster.settings.generation.maxGenerations = 1;
     cluster.start();
     cluster.post("/v1/completions", nonStreamingBody, { { "Idempotency-Key", "k" } });
     const auto result = cluster.post("/v1/completions", nonStreamingBody);
--- a/test/VmLossTest.cpp
+++ b/test/VmLossTest.cpp
@@ -70,7 +70,7 @@
 
 TEST(VmLoss, ResumesFromThePrefixWhenTheStreamHasEnded)
 {
-    cluster.settings.journal.keepStream = Milliseconds { 0 };
+    cluster.settings.journal.detachedRunTime = Milliseconds { 0 };
     cluster.start();
     checkComplete(runAndKillItsVm(cluster.caller("k")));
     LONGS_EQUAL(2, cluster.engineRequests());
@@ -165,7 +165,7 @@
 
 TEST(VmLoss, RefusesWithoutAReplicaWhenConfigured)
 {
-    cluster.settings.journal.goOnUnprotected = false;
+    cluster.settings.journal.continuesWithoutPeers = false;
     cluster.start();
     cluster.killVm(1);
     cluster.killVm(2);
