--- a/src/daemon/Cluster.cpp
+++ b/src/daemon/Cluster.cpp
@@ -13,7 +13,8 @@
 
 constexpr Milliseconds queryTimeout { 200 };
 constexpr Milliseconds joinPollInterval { 5 };
-// All VMs of the settings form one view that does not change; a record whose runner is lost stays with its replica.
+// All VMs in the settings form one fixed view; when the VM that runs a record is lost, the record stays with its
+// replica.
 constexpr std::uint64_t staticEpoch = 1;
 
 PeerNetworkSettings networkSettings(
@@ -55,11 +56,11 @@
     , m_self { settings.vm.name, incarnation }
     , m_startedAt(clock.now())
     , m_view(staticView(settings))
-    , m_lastChange(clock.now())
+    , m_lastMembershipChange(clock.now())
 {
 }
 
-std::optional<std::string> Cluster::start(unsigned short callerPort, RunsKey runsKey)
+std::optional<std::string> Cluster::start(unsigned short callerPort, RunsKeyFunction runsKey)
 {
     m_runsKey = std::move(runsKey);
     if (!isEnabled())
@@ -77,23 +78,23 @@
     for (const auto& link : m_links)
         link.second.journal->close();
     m_links.clear();
-    m_placed.clear();
+    m_replicaVms.clear();
 }
 
-void Cluster::place(const std::string& key, bool isForwarded, Decide decide)
+void Cluster::place(const std::string& key, bool isForwarded, PlacementCallback decide)
 {
     if (!isEnabled()) {
         decide({});
         return;
     }
     if (!hasJoined()) {
-        placeLater(key, isForwarded, std::move(decide));
+        schedulePlacement(key, isForwarded, std::move(decide));
         return;
     }
     if (const auto placement = placeByOwnRecord(key)) {
-        // An older record may have been left here when the runner moved its journal, so the others are asked first.
+        // The runner may have moved its journal and left an older record here, so the other VMs are asked first.
         if (placement->kind == KeyPlacement::Kind::TakeOver)
-            ask(key, std::move(decide));
+            queryPeers(key, std::move(decide));
         else
             decide(*placement);
         return;
@@ -103,10 +104,10 @@
         decide({ KeyPlacement::Kind::Forward, *owner, std::nullopt });
         return;
     }
-    if (isSettled())
+    if (isMembershipStable())
         decide({});
     else
-        ask(key, std::move(decide));
+        queryPeers(key, std::move(decide));
 }
 
 std::optional<ReplicaRecord> Cluster::takeOver(const std::string& key) { return m_store.seal(key, m_clock.now()); }
@@ -121,9 +122,9 @@
     }
     {
         const std::lock_guard lock(m_mutex);
-        m_placed[source.get()] = vm;
+        m_replicaVms[source.get()] = vm;
     }
-    logDebug(LogComponent::Journal, "a generation is journaled on VM " + vm + ".");
+    logDebug(LogComponent::Journal, "a generation is replicated to VM " + vm + ".");
     link->add(source);
 }
 
@@ -132,8 +133,8 @@
     std::shared_ptr<JournalLink> link;
     {
         const std::lock_guard lock(m_mutex);
-        const auto placed = m_placed.find(&source);
-        if (placed == m_placed.end())
+        const auto placed = m_replicaVms.find(&source);
+        if (placed == m_replicaVms.end())
             return;
         const auto entry = m_links.find(placed->second);
         if (entry == m_links.end())
@@ -148,13 +149,13 @@
     std::shared_ptr<JournalLink> link;
     {
         const std::lock_guard lock(m_mutex);
-        const auto placed = m_placed.find(&source);
-        if (placed == m_placed.end())
+        const auto placed = m_replicaVms.find(&source);
+        if (placed == m_replicaVms.end())
             return;
         const auto entry = m_links.find(placed->second);
         if (entry != m_links.end())
             link = entry->second.journal;
-        m_placed.erase(placed);
+        m_replicaVms.erase(placed);
     }
     if (link)
         link->remove(&source);
@@ -167,8 +168,8 @@
         if (m_links.count(vm)) {
             auto& watchers = m_watchers[vm];
             const auto isGone = [](const std::weak_ptr<PeerWatcher>& other) { return other.expired(); };
-            // Watchers that are gone are cleared out when the list has doubled, so that each is looked at a few times
-            // only.
+            // Expired watchers are removed each time the list has doubled, so that each watcher is checked only a few
+            // times.
             if (watchers.size() == watchers.capacity())
                 watchers.erase(std::remove_if(watchers.begin(), watchers.end(), isGone), watchers.end());
             watchers.push_back(watcher);
@@ -202,8 +203,8 @@
         auto& link = m_links[peer.vm];
         if (peer.link < link.number)
             return;
-        m_lastChange = m_clock.now();
-        m_incoming.erase(peer.vm);
+        m_lastMembershipChange = m_clock.now();
+        m_incomingJournals.erase(peer.vm);
         older = std::move(link.journal);
         link = { peer.link,
             std::make_shared<JournalLink>(m_ioContext, m_view.epoch, m_settings.journal.flushInterval, send) };
@@ -219,11 +220,11 @@
     {
         const std::lock_guard lock(m_mutex);
         const auto entry = m_links.find(peer.vm);
-        // A newer link may be up already.
+        // A newer link to this VM may already be up.
         if (entry == m_links.end() || entry->second.number != peer.link)
             return;
-        m_lastChange = m_clock.now();
-        m_incoming.erase(peer.vm);
+        m_lastMembershipChange = m_clock.now();
+        m_incomingJournals.erase(peer.vm);
         journal = std::move(entry->second.journal);
         m_links.erase(entry);
         watchers = std::move(m_watchers[peer.vm]);
@@ -241,7 +242,7 @@
     }
 }
 
-// The journals of a lost link go on elsewhere, from their beginning.
+// Moves the journals of a lost link to another VM, which gets them from their start.
 void Cluster::moveJournals(const std::shared_ptr<JournalLink>& journal)
 {
     if (!journal)
@@ -252,7 +253,7 @@
 
 void Cluster::peerMessage(const PeerIdentity& peer, const wire::Envelope& envelope)
 {
-    // A message of a link that was replaced would speak of handles that mean something else now.
+    // The handles in a message of a replaced link may have another meaning on the new link.
     if (!isNewestLink(peer))
         return;
     if (envelope.has_journal()) {
@@ -274,8 +275,8 @@
     }
 }
 
-// A VM that has just started knows nothing and takes no key for new before it has heard of the others. After the time
-// in which a live peer would have been heard, it goes on with those that it has.
+// A VM that has just started holds no records and treats no key as new until it has linked to the other VMs. Once a
+// live peer would have linked, it continues with the VMs that it has reached.
 bool Cluster::hasJoined()
 {
     if (m_hasJoined)
@@ -285,7 +286,7 @@
     return m_hasJoined;
 }
 
-void Cluster::placeLater(const std::string& key, bool isForwarded, Decide decide)
+void Cluster::schedulePlacement(const std::string& key, bool isForwarded, PlacementCallback decide)
 {
     const auto timer = std::make_shared<boost::asio::steady_timer>(m_ioContext, joinPollInterval);
     timer->async_wait([weak = weak_from_this(), timer, key, isForwarded, decide = std::move(decide)](
@@ -303,11 +304,11 @@
     return link != m_links.end() && link->second.number == peer.link;
 }
 
-// While nothing has changed for the time that answers are kept, a key that its owner does not know is new.
-bool Cluster::isSettled() const
+// When the reachable VMs have not changed for as long as answers are kept, a key that its owner does not know is new.
+bool Cluster::isMembershipStable() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_clock.now() - m_lastChange >= m_settings.generation.retention;
+    return m_clock.now() - m_lastMembershipChange >= m_settings.generation.retention;
 }
 
 std::optional<KeyPlacement> Cluster::placeByOwnRecord(const std::string& key) const
@@ -319,7 +320,7 @@
     return placeByRecord(std::move(*record), runner);
 }
 
-// The most responsible VM that can be reached; nothing when it is this one.
+// The first VM in the key's order of responsibility that can be reached; nothing when it is this one.
 std::optional<PeerIdentity> Cluster::actingOwner(const std::string& key) const
 {
     for (const auto& member : rankMembers(m_view, key)) {
@@ -331,7 +332,7 @@
     return std::nullopt;
 }
 
-void Cluster::ask(const std::string& key, Decide decide)
+void Cluster::queryPeers(const std::string& key, PlacementCallback decide)
 {
     const auto peers = m_network->up();
     if (peers.empty()) {
@@ -365,28 +366,28 @@
         const auto query = m_queries.find(id);
         if (query == m_queries.end())
             return;
-        query->second.answersMissing = 0;
+        query->second.pendingAnswers = 0;
     }
-    conclude(id);
+    completeQuery(id);
 }
 
-void Cluster::conclude(std::uint64_t id)
+void Cluster::completeQuery(std::uint64_t id)
 {
     Query query;
     {
         const std::lock_guard lock(m_mutex);
         const auto entry = m_queries.find(id);
-        if (entry == m_queries.end() || entry->second.answersMissing)
+        if (entry == m_queries.end() || entry->second.pendingAnswers)
             return;
         query = std::move(entry->second);
         m_queries.erase(entry);
     }
-    query.decide(placementAfter(query));
+    query.decide(placementFromAnswers(query));
 }
 
-// The VM that runs the key goes first, then the one that holds most of it; of two that hold as much, the one with the
-// smaller name.
-KeyPlacement Cluster::placementAfter(const Query& query) const
+// Prefers the VM that runs the key, then the one that holds the longest record; of two equally long records, the one on
+// the VM with the smaller name.
+KeyPlacement Cluster::placementFromAnswers(const Query& query) const
 {
     auto local = placeByOwnRecord(query.key);
     if (!query.holder)
@@ -402,7 +403,7 @@
     return { KeyPlacement::Kind::Forward, *query.holder, std::nullopt };
 }
 
-// The most responsible VM beside this one that can be reached.
+// The first VM other than this one in the key's order of responsibility that can be reached.
 std::shared_ptr<JournalLink> Cluster::linkFor(const std::string& key, std::string& vm) const
 {
     const std::lock_guard lock(m_mutex);
@@ -425,7 +426,8 @@
             refused.insert(item.handle());
     }
     if (!applyTokens(peer, batch, refused)) {
-        logError(LogComponent::Journal, "a batch of VM " + peer.vm + " cannot be read; it is not acknowledged.");
+        logError(
+            LogComponent::Journal, "the journal batch of VM " + peer.vm + " is malformed; it is not acknowledged.");
         return;
     }
     for (const auto& item : batch.items()) {
@@ -439,7 +441,7 @@
     m_network->send(peer.vm, reply);
 }
 
-// What comes before the tokens of a stream.
+// Applies the parts of an item that precede the stream's tokens.
 JournalResult Cluster::applyItem(const PeerIdentity& peer, std::uint64_t epoch, const wire::JournalItem& item)
 {
     const ViewMember runner { peer.vm, peer.incarnation };
@@ -447,16 +449,16 @@
     if (item.drop()) {
         m_store.drop(runner, keyOfHandle(peer, item.handle()));
         const std::lock_guard lock(m_mutex);
-        m_incoming[peer.vm].streams.erase(item.handle());
+        m_incomingJournals[peer.vm].streams.erase(item.handle());
         return result;
     }
     if (item.has_open()) {
         auto record = recordOf(peer, item.open());
         const auto key = record.request.key;
-        // This VM may run the key itself, for a caller that came while the two could not reach each other.
+        // This VM may run the key itself, for a caller who came while the two VMs could not reach each other.
         result = m_runsKey(key) ? JournalResult::Refused : m_store.open(epoch, std::move(record));
         const std::lock_guard lock(m_mutex);
-        m_incoming[peer.vm].streams[item.handle()] = { key, 0 };
+        m_incomingJournals[peer.vm].streams[item.handle()] = { key, 0 };
     }
     const auto key = keyOfHandle(peer, item.handle());
     if (result == JournalResult::Applied && item.has_attempt())
@@ -467,7 +469,7 @@
     return result;
 }
 
-// What comes behind them.
+// Applies the parts of an item that follow the stream's tokens.
 JournalResult Cluster::applyEnd(const PeerIdentity& peer, std::uint64_t epoch, const wire::JournalItem& item)
 {
     const ViewMember runner { peer.vm, peer.incarnation };
@@ -481,7 +483,7 @@
 {
     const ViewMember runner { peer.vm, peer.incarnation };
     const std::lock_guard lock(m_mutex);
-    auto& incoming = m_incoming[peer.vm];
+    auto& incoming = m_incomingJournals[peer.vm];
     return readTokens(batch, incoming.texts, [&](std::uint32_t handle, std::vector<Token> tokens) {
         auto& stream = incoming.streams[handle];
         const auto position = stream.length;
@@ -494,8 +496,8 @@
 std::string Cluster::keyOfHandle(const PeerIdentity& peer, std::uint32_t handle) const
 {
     const std::lock_guard lock(m_mutex);
-    const auto incoming = m_incoming.find(peer.vm);
-    if (incoming == m_incoming.end())
+    const auto incoming = m_incomingJournals.find(peer.vm);
+    if (incoming == m_incomingJournals.end())
         return {};
     const auto stream = incoming->second.streams.find(handle);
     return stream == incoming->second.streams.end() ? std::string {} : stream->second.key;
@@ -509,10 +511,10 @@
     answer.set_id(envelope.query().id());
     answer.set_is_runner(m_runsKey(key));
     const auto record = m_store.find(key);
-    // A record of the asking VM itself counts if it is from before its restart. In its present life the VM knows best
-    // that it has let go of the key.
-    const bool isAskersOwn = record && record->runner == ViewMember { peer.vm, peer.incarnation };
-    answer.set_is_known(answer.is_runner() || (record && !isAskersOwn));
+    // A record of the querying VM itself counts if it dates from before that VM's restart. Since its restart, that VM
+    // knows best whether it has released the key.
+    const bool isOwnRecordOfPeer = record && record->runner == ViewMember { peer.vm, peer.incarnation };
+    answer.set_is_known(answer.is_runner() || (record && !isOwnRecordOfPeer));
     answer.set_length(record ? record->tokens.size() : 0);
     m_network->send(peer.vm, reply);
 }
@@ -526,7 +528,7 @@
         if (entry == m_queries.end())
             return;
         auto& query = entry->second;
-        query.answersMissing -= query.answersMissing ? 1 : 0;
+        query.pendingAnswers -= query.pendingAnswers ? 1 : 0;
         const bool isMore = !query.holder || answer.length() > query.holderLength
             || (answer.length() == query.holderLength && peer.vm < query.holder->vm);
         if (answer.is_known() && !query.isHolderRunner && (answer.is_runner() || isMore)) {
@@ -535,9 +537,9 @@
             query.holderLength = answer.length();
         }
         if (answer.is_runner())
-            query.answersMissing = 0;
+            query.pendingAnswers = 0;
     }
-    conclude(answer.id());
+    completeQuery(answer.id());
 }
 
 } // namespace lupinknot::internal
--- a/src/daemon/ForwardedRequest.cpp
+++ b/src/daemon/ForwardedRequest.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// The other VM keeps the deadline; this is a guard.
+// The other VM enforces the deadline; this timeout is a safeguard.
 constexpr Milliseconds callTimeout { 86400000 };
 
 } // namespace
@@ -29,7 +29,7 @@
 
 void ForwardedRequest::start(const SocketAddress& address, unsigned hops)
 {
-    m_exchange->onPeerDisconnected([self = shared_from_this()] { self->callerGone(); });
+    m_exchange->onPeerDisconnected([self = shared_from_this()] { self->callerDisconnected(); });
     const auto& incoming = m_exchange->request();
     HttpRequest outgoing { incoming.method, incoming.target, {}, incoming.body };
     const auto kept = incoming.headers.endToEnd();
@@ -40,8 +40,8 @@
     outgoing.headers.add(hopsHeader, std::to_string(hops));
     {
         const std::lock_guard lock(m_mutex);
-        // A caller can be gone before the call begins.
-        if (m_isCallerGone)
+        // The caller can disconnect before the call starts.
+        if (m_isCallerDisconnected)
             return;
         m_call = m_context.calls.start(address, outgoing, callTimeout, shared_from_this());
     }
@@ -60,7 +60,7 @@
 void ForwardedRequest::bodyArrived(std::string_view piece)
 {
     const std::lock_guard lock(m_mutex);
-    m_bytes.append(piece);
+    m_unsentBytes.append(piece);
     if (m_isStream)
         m_exchange->wake();
 }
@@ -73,7 +73,7 @@
         m_exchange->wake();
         return;
     }
-    m_response.body = std::move(m_bytes);
+    m_response.body = std::move(m_unsentBytes);
     m_exchange->respond(std::move(m_response));
 }
 
@@ -81,20 +81,19 @@
 {
     const std::lock_guard lock(m_mutex);
     logWarning(LogComponent::Caller,
-        "a request passed on to VM " + m_vm + " broke off: " + std::string(nameIn(httpCallFailureNames, failure))
-            + ".");
+        "a request forwarded to VM " + m_vm + " failed: " + std::string(nameIn(httpCallFailureNames, failure)) + ".");
     if (m_isStream) {
         m_exchange->abort();
         return;
     }
-    if (!m_isCallerGone)
+    if (!m_isCallerDisconnected)
         m_onLost();
 }
 
 HttpBodyPiece ForwardedRequest::next()
 {
     const std::lock_guard lock(m_mutex);
-    return { std::exchange(m_bytes, {}), m_isEnded };
+    return { std::exchange(m_unsentBytes, {}), m_isEnded };
 }
 
 void ForwardedRequest::peerLost()
@@ -106,14 +105,14 @@
     cancelCall();
 }
 
-void ForwardedRequest::callerGone()
+void ForwardedRequest::callerDisconnected()
 {
     const std::lock_guard lock(m_mutex);
-    m_isCallerGone = true;
+    m_isCallerDisconnected = true;
     cancelCall();
 }
 
-// Not on this stack: cancelling may run callbacks of the call, and those take the lock.
+// Posted, because cancelling may run callbacks of the call that take the lock.
 void ForwardedRequest::cancelCall()
 {
     if (m_call)
--- a/src/daemon/GenerationRegistry.cpp
+++ b/src/daemon/GenerationRegistry.cpp
@@ -14,7 +14,8 @@
 
 namespace leaf = boost::leaf;
 
-// Reads a journaled request again. It was good when it came, so it can only fail when this VM's limits are tighter.
+// Parses a journaled request again. It was valid on the VM that received it, so it fails here only when this VM's
+// limits are stricter.
 std::optional<CompletionRequest> requestOf(const JournaledRequest& journaled, const GenerationSettings& settings)
 {
     HttpRequest message { "POST", "/v1/completions", {}, journaled.body };
@@ -47,7 +48,7 @@
 Admission GenerationRegistry::admit(const CompletionRequest& request)
 {
     const auto id = newId();
-    // A request without a key is held under its id, where nobody but operators can find it.
+    // A request without a key is stored under its id, where only operators can find it.
     const auto key = request.idempotencyKey.empty()
         ? id
         : JournaledRequest::scopedKey(request.organisation, request.idempotencyKey);
@@ -74,9 +75,9 @@
     const auto entry = shard.byKey.find(key);
     if (entry == shard.byKey.end())
         return nullptr;
-    if (!entry->second->isVoid())
+    if (!entry->second->isKeyReusable())
         return entry->second;
-    entry->second->forget();
+    entry->second->detachJournal();
     shard.byKey.erase(entry);
     --m_heldCount;
     return nullptr;
@@ -116,7 +117,7 @@
                 ++entry;
                 continue;
             }
-            entry->second->forget();
+            entry->second->detachJournal();
             entry = shard.byKey.erase(entry);
             --m_heldCount;
         }
--- a/src/daemon/KeyedRequestRouter.cpp
+++ b/src/daemon/KeyedRequestRouter.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-// A request goes to the VM responsible and from there to the one that runs it.
+// A request is forwarded to the responsible VM, and from there to the VM that runs it.
 constexpr unsigned maxHops = 3;
-// How often, and how soon, a request is placed anew when the VM that it went to is lost.
+// Number and interval of the attempts to place a request again when the VM that it was forwarded to is lost.
 constexpr unsigned maxTries = 200;
 constexpr Milliseconds retryInterval { 10 };
 
@@ -42,17 +42,17 @@
 void KeyedRequestRouter::tryRoute(const std::shared_ptr<HttpExchange>& exchange, const std::string& key,
     const KeyedRequestActions& actions, unsigned tries) const
 {
-    if (actions.isHere()) {
+    if (actions.isRunningHere()) {
         actions.serve();
         return;
     }
     const bool isForwarded = hopsOf(exchange->request()) > 0;
     m_context.cluster.place(key, isForwarded, [this, exchange, key, actions, tries](const KeyPlacement& placement) {
-        placed(exchange, key, actions, tries, placement);
+        handlePlacement(exchange, key, actions, tries, placement);
     });
 }
 
-void KeyedRequestRouter::placed(const std::shared_ptr<HttpExchange>& exchange, const std::string& key,
+void KeyedRequestRouter::handlePlacement(const std::shared_ptr<HttpExchange>& exchange, const std::string& key,
     const KeyedRequestActions& actions, unsigned tries, const KeyPlacement& placement) const
 {
     using Kind = KeyPlacement::Kind;
@@ -75,9 +75,10 @@
 void KeyedRequestRouter::forward(const std::shared_ptr<HttpExchange>& exchange, const std::string& key,
     const KeyedRequestActions& actions, unsigned tries, const PeerIdentity& target) const
 {
-    logInfo(LogComponent::Route, "a request with a key goes to VM " + target.vm + ", which is responsible for it.");
+    logInfo(
+        LogComponent::Route, "a request with a key is forwarded to VM " + target.vm + ", which is responsible for it.");
     const auto forwarded = std::make_shared<ForwardedRequest>(m_context, exchange, target.vm);
-    // The links between VMs show a loss a little later than the call does.
+    // The links between VMs detect a loss slightly later than the call does.
     forwarded->onLost([this, exchange, key, actions, tries] {
         const auto timer = std::make_shared<boost::asio::steady_timer>(m_context.ioContext, retryInterval);
         timer->async_wait([this, timer, exchange, key, actions, tries](boost::system::error_code error) {
--- a/src/daemon/PlatformReader.cpp
+++ b/src/daemon/PlatformReader.cpp
@@ -16,7 +16,7 @@
 
 constexpr unsigned statusOk = 200;
 
-// Reads `{"endpoints": [{"name": "e1", "state": "live"}, ...]}`; nothing when it is something else.
+// Parses `{"endpoints": [{"name": "e1", "state": "live"}, ...]}`. Returns nothing for any other input.
 std::optional<std::vector<EndpointListingEntry>> parseListing(const std::string& text)
 {
     const auto body = json::parse(text, nullptr, false);
@@ -63,9 +63,9 @@
 std::optional<Milliseconds> PlatformReader::age() const
 {
     const std::lock_guard lock(m_mutex);
-    if (!m_lastReading)
+    if (!m_lastReadAt)
         return std::nullopt;
-    return m_context.clock.now() - *m_lastReading;
+    return m_context.clock.now() - *m_lastReadAt;
 }
 
 void PlatformReader::headerArrived(unsigned status, const HttpHeaders&)
@@ -86,17 +86,17 @@
 {
     const std::lock_guard lock(m_mutex);
     if (m_status == statusOk)
-        takeList();
+        applyList();
     else
         noteFailure("status " + std::to_string(m_status));
-    waitForNext();
+    scheduleNextRead();
 }
 
 void PlatformReader::failed(HttpCallFailure failure, const std::string&)
 {
     const std::lock_guard lock(m_mutex);
     noteFailure(std::string(nameIn(httpCallFailureNames, failure)));
-    waitForNext();
+    scheduleNextRead();
 }
 
 void PlatformReader::readList()
@@ -106,7 +106,7 @@
     m_call = m_context.calls.start({ platform.address, platform.port }, request, platform.timeout, shared_from_this());
 }
 
-void PlatformReader::waitForNext()
+void PlatformReader::scheduleNextRead()
 {
     if (m_isStopped)
         return;
@@ -121,15 +121,15 @@
     });
 }
 
-void PlatformReader::takeList()
+void PlatformReader::applyList()
 {
     const auto entries = parseListing(m_body);
     if (!entries) {
-        noteFailure("a list that cannot be read");
+        noteFailure("the list is malformed");
         return;
     }
     m_endpoints.applyListing(*entries);
-    m_lastReading = m_context.clock.now();
+    m_lastReadAt = m_context.clock.now();
     if (m_isFailing)
         logInfo(LogComponent::Platform, "the platform's list can be read again.");
     m_isFailing = false;
@@ -139,7 +139,7 @@
 {
     if (!m_isFailing && !m_isStopped)
         logWarning(LogComponent::Platform,
-            "the platform's list cannot be read (" + reason + "); the last reading stays in force.");
+            "the platform's list cannot be read (" + reason + "); the last list stays in force.");
     m_isFailing = true;
 }
 
