--- a/src/model/LimitModel.cpp
+++ b/src/model/LimitModel.cpp
@@ -18,12 +18,12 @@
 
 namespace {
 
-// The endpoint names its first limit after this time; the play ends so long after that.
+// The endpoint states its first limit at this time; the simulation ends at playLength.
 constexpr Milliseconds limitFrom { 2000 };
 constexpr Milliseconds playLength { 32'000 };
 constexpr Milliseconds answerTime { 30 };
 constexpr Milliseconds askLimit { 60 };
-// Requests in which a VM may wait for its place, and how long.
+// How long a request may wait for its send slot; half of the requests do not wait at all.
 constexpr Milliseconds patience { 700 };
 constexpr Milliseconds demandToldEvery { 500 };
 constexpr Milliseconds demandWindow { 2000 };
@@ -38,7 +38,7 @@
 constexpr double fewestRequests = 6;
 constexpr double shareOfTheBusiest = 0.9;
 
-// A span in which the endpoint names one limit, nothing for none.
+// A time span in which the endpoint states one limit; perSecond is empty if it states none.
 struct LimitSpan {
     Milliseconds from;
     std::optional<double> perSecond;
@@ -48,7 +48,7 @@
 struct Arrival {
     Milliseconds at;
     std::size_t vm;
-    // From a VM that had been told the limit for long enough, and the same while nothing had struck it.
+    // isTold: the sender had known the limit for at least knownAfter. isCounted: it also had no recent fault.
     bool isTold;
     bool isCounted;
 };
@@ -56,11 +56,11 @@
 struct Vm {
     bool isUp { true };
     Milliseconds pausedUntil { 0 };
-    // Cut off from the other VMs.
+    // Disconnected from the other VMs until then.
     Milliseconds cutUntil { 0 };
     Milliseconds struckUntil { 0 };
     unsigned incarnation { 0 };
-    // What it has heard of the endpoint's start, and when its own answers first named this limit.
+    // The endpoint's incarnation that this VM knows, and when a response to this VM first stated a limit.
     unsigned start { 0 };
     HeardLimit limit;
     std::optional<Milliseconds> toldAt;
@@ -69,7 +69,7 @@
     LimitKeeper keeperAlone;
     KeeperWatch watch;
     Milliseconds startedAt { 0 };
-    // For the ways without one that counts.
+    // For the ways without a limit keeper.
     PermitSchedule own { Milliseconds { 0 } };
     double ownRate { 0 };
     std::vector<Milliseconds> requests;
@@ -179,7 +179,7 @@
         if (draw < 0.2) {
             m_spans.push_back({ at, std::nullopt, start });
         } else if (draw < 0.4) {
-            // It starts again under its id, and names a limit a little later.
+            // The endpoint restarts under the same id and states a limit a little later.
             m_spans.push_back({ at, std::nullopt, ++start });
             m_spans.push_back({ at + between(300, 2000), m_play.perSecond, start });
         } else {
@@ -193,7 +193,7 @@
 {
     for (auto at = between(0, 6000); at < playLength; at += between(800, 6000)) {
         const auto draw = drawn();
-        // The VM that counts, or the one that stands in for it, is struck as often as all others together.
+        // Half of the faults hit the limit keeper or its last substitute.
         const auto struck = drawn() < 0.5 ? m_keepers[drawn() < 0.7 ? 0 : m_keepers.size() - 1] : anyVm();
         const auto time = between(200, 5000);
         after(at, [this, draw, struck, time] {
@@ -210,7 +210,7 @@
                 vm.pausedUntil = m_now + time;
                 strike(struck, time);
             } else {
-                // With a few others, as a zone goes.
+                // Disconnects a group of VMs of one availability zone together.
                 for (std::size_t i = 0; i < 1 + m_play.vmCount / 4; ++i) {
                     const auto other = (struck + zoneCount * i) % m_play.vmCount;
                     m_vms[other].cutUntil = m_now + time;
@@ -374,7 +374,7 @@
     });
 }
 
-// The ways in which each VM keeps a part for itself.
+// For the ways in which each VM enforces its own share of the limit.
 void Play::sendBySchedule(std::size_t number)
 {
     auto& vm = m_vms[number];
@@ -411,7 +411,7 @@
         if (hears && all > 0)
             m_vms[i].requestShare = counts[i] / all;
     }
-    // Each tells all others.
+    // Each VM sends its count to all others.
     if (m_now >= limitFrom)
         m_calls += m_play.vmCount * (m_play.vmCount - 1);
     after(demandToldEvery, [this] { tellDemand(); });
@@ -426,7 +426,7 @@
         const auto& span = spanAt(m_now);
         auto& sender = m_vms[number];
         if (sender.start != span.start) {
-            // The list of endpoints names the new start.
+            // The endpoint list shows the new incarnation.
             sender.start = span.start;
             sender.toldAt.reset();
             sender.limit = {};
@@ -472,8 +472,8 @@
     }
 }
 
-// What the endpoint may get within the span. Where a limit falls, the one before holds for as long as VMs that have
-// heard of the new one do not count.
+// The number of requests that the endpoint may receive in the span. After a limit falls, the previous limit applies for
+// knownAfter, because requests of VMs that learned the new limit within that time are not counted.
 double Play::allowed(Milliseconds from, Milliseconds to) const
 {
     const auto overlap = [from, to](Milliseconds begin, Milliseconds end) {
@@ -502,7 +502,7 @@
     for (std::size_t first = 0, last = 0; last < counted.size(); ++last) {
         while (counted[last] - counted[first] >= window)
             ++first;
-        // The time from which this start of the endpoint has named limits without a break.
+        // The time since which this incarnation of the endpoint has stated limits without interruption.
         const auto at = counted[last];
         auto since = at;
         for (auto span = m_spans.rbegin(); span != m_spans.rend(); ++span) {
@@ -521,7 +521,7 @@
     }
 }
 
-// Seconds in which requests were refused, from two seconds after the limit was named.
+// Covers windows with refused requests, from 2 seconds after the endpoint first stated the limit.
 void Play::settleUse(LimitOutcome& outcome) const
 {
     double taken = 0;
--- a/src/model/LimitModel.h
+++ b/src/model/LimitModel.h
@@ -1,12 +1,14 @@
-// Plays an endpoint under a limit and the VMs that have requests for it, on simulated time, from one seed.
+// Discrete-event simulation of one rate-limited endpoint and the VMs that send requests to it; seeded.
 //
 //     const auto outcome = playLimit({ .way = LimitWay::OneCounts, .vmCount = 88, .perSecond = 2.3, .seed = 7 });
 //     if (outcome.worstExcess > 0) ...
 //
-// The deciding parts are the ones that lupinknot-entry runs (src/limits); calls between VMs take 1 to 4 ms and end with
-// a kill, a pause or a cut. What the endpoint gets is held against one and a half times its limit and five more within
-// each four seconds, from three seconds after it first named the limit, over the VMs that had an answer which names it
-// half a second before and that nothing has struck for three seconds. A pure function of its arguments; thread-safe.
+// The simulation runs the decision code of lupinknot-entry (src/limits). Calls between VMs take 1 to 4 ms and fail when
+// a VM is killed, paused or disconnected.
+//
+// The check allows the endpoint 1.5 times its limit plus 5 requests in any 4 seconds, from 3 seconds after the endpoint
+// first stated the limit. It counts a VM's requests only if the VM received a response that states the limit at least
+// half a second before and had no fault in the last 3 seconds. A pure function of its arguments; thread-safe.
 #pragma once
 
 #include "lupinknot/EnumNames.h"
@@ -15,12 +17,12 @@
 
 namespace lupinknot::internal {
 
-// How VMs keep to a limit that is meant for all of them together.
+// How VMs enforce a limit that applies to the sum of their requests.
 enum class LimitWay {
-    EvenShare, // Each VM sends its part by the number of VMs.
-    DemandShares, // Each VM sends a part by its share of the requests, which VMs tell each other twice a second.
-    OneCounts, // One VM, the same for all, gives out permits.
-    BackOff, // No word between VMs: each slows down when the endpoint turns a request away, and speeds up slowly.
+    EvenShare, // Each VM may use an equal share of the limit.
+    DemandShares, // Each VM may use a share proportional to its requests; VMs exchange the counts twice a second.
+    OneCounts, // One VM, the limit keeper, issues the permits for all VMs.
+    BackOff, // VMs do not communicate; each halves its rate on a rejection and raises it slowly.
 };
 
 inline constexpr std::array<EnumName<LimitWay>, 4> limitWayNames { {
@@ -30,36 +32,36 @@
     { LimitWay::BackOff, "back off" },
 } };
 
-// Faults built into the VMs to show that the check finds them.
+// Faults injected into the VMs to prove that the check detects them.
 enum class PlantedLimitFault {
     None,
-    WholeSubstitutes, // A VM that stands in for the one that counts gives out the whole limit at once.
-    KeepsOldLimit, // A limit that has changed is not noticed.
-    EachCounts, // Each VM counts the endpoint's requests by itself.
+    WholeSubstitutes, // A substitute limit keeper issues permits for the whole limit at once.
+    KeepsOldLimit, // A VM ignores a changed limit.
+    EachCounts, // Each VM applies the whole limit to its own requests.
 };
 
 struct LimitPlay {
     LimitWay way { LimitWay::OneCounts };
     std::size_t vmCount { 7 };
     double perSecond { 1 };
-    // Requests a second of all VMs, as a multiple of the limit, and at least a few.
+    // Requests per second of all VMs, as a multiple of the limit; the model has a minimum rate.
     double demand { 4 };
-    // One VM has nine tenths of the requests.
+    // One VM receives nine tenths of the requests.
     bool isUneven { false };
-    // VMs are killed, paused and cut off, and the limit falls, rises, ends and comes back.
+    // Kills, pauses and disconnects VMs, and lowers, raises, removes and restores the limit.
     bool hasTrouble { true };
     PlantedLimitFault planted { PlantedLimitFault::None };
     std::uint64_t seed { 1 };
 };
 
 struct LimitOutcome {
-    // The most requests in four seconds beyond what is allowed; negative or 0 when the promise was kept.
+    // The most requests in 4 seconds beyond the allowed number; negative or 0 if the limit was kept.
     double worstExcess { -1 };
-    // The most in four seconds as a share of what is allowed.
+    // The most requests in 4 seconds as a share of the allowed number.
     double worstShare { 0 };
-    // Share of the limit that was used while requests for it were refused.
+    // Share of the limit that was used while VMs refused requests.
     double use { 0 };
-    // Calls between VMs a second, on the mean of the play.
+    // Mean number of calls between VMs per second.
     double callsPerSecond { 0 };
 };
 
--- a/src/model/RetryModel.cpp
+++ b/src/model/RetryModel.cpp
@@ -18,7 +18,7 @@
 constexpr int ticksInSecond = 10;
 constexpr int zoneCount = 3;
 
-// Its budget refers to its settings, so it stays where it is.
+// Not copyable, because the budget refers to the settings.
 struct SimulatedVm {
     SimulatedVm(const SimulatedVm&) = delete;
     SimulatedVm& operator=(const SimulatedVm&) = delete;
@@ -75,7 +75,7 @@
         }
     }
 
-    // The greatest excess over what the budget allows, over all windows.
+    // The greatest excess of retries over the allowed number in any window.
     double greatestExcess() const
     {
         const RelaySettings settings;
@@ -122,7 +122,7 @@
         }
     }
 
-    // A run begins somewhere, perhaps after it was turned away elsewhere.
+    // Starts a run on an engine, after as many rejections and retries as chance and the budget give.
     void send(SimulatedVm& vm, Milliseconds requestedAt, int second)
     {
         const auto away = isSilent(second) ? m_play.turnedAwayWhileSilent : m_play.turnedAwayShare;
--- a/src/model/RetryModel.h
+++ b/src/model/RetryModel.h
@@ -1,11 +1,11 @@
-// A simulated fleet of VMs whose retry budgets know nothing of each other.
+// Simulation of a fleet of VMs whose retry budgets do not communicate.
 //
-// Load pattern: engines of one availability zone after the other go, engines that are full or that have started again
-// under another name turn requests away, VMs start again, and callers move between zones. Each VM retries as often as
-// its budget lets it.
+// Load pattern: one availability zone after the other loses its engines, engines that are full or have restarted under
+// another name reject requests, VMs restart, and callers move between zones. Each VM retries as often as its budget
+// allows.
 //
 //     const auto outcome = playRetries({ .seed = 26, .vmCount = 305 });
-//     if (outcome.greatestExcess > 0) ...          // The fleet went beyond the budget in some window.
+//     if (outcome.greatestExcess > 0) ...          // The fleet exceeded the budget in some window.
 //
 // A pure function of its arguments.
 #pragma once
@@ -15,7 +15,7 @@
 
 namespace lupinknot::internal {
 
-// What a play consists of.
+// Parameters of one simulation.
 struct RetryPlay {
     std::uint64_t seed { 1 };
     int vmCount { 90 };
@@ -23,40 +23,40 @@
     double requestsPerSecond { 46 };
     double runSeconds { 5 };
     int seconds { 60 };
-    // Share of a zone's engines that go when the zone does, every so many seconds; the zones take turns.
+    // Share of a zone's engines that crash when the zone fails, and the interval of zone failures; zones fail in turn.
     double lossShare { 0.95 };
     int lossEverySeconds { 6 };
-    // Share of the sendings that an engine turns away, which may lead to the next one at once.
+    // Share of the send attempts that an engine rejects; the VM may retry a rejected request at once.
     double turnedAwayShare { 0.1 };
-    // The same while the store is silent and engines that started again have names that no VM knows.
+    // The same while the store does not respond and VMs do not know the new names of restarted engines.
     double turnedAwayWhileSilent { 0.4 };
     int silentFromSecond { 18 };
     int silentToSecond { 26 };
-    // Runs that VMs would like to move as a precaution after each loss, as share of all.
+    // Share of all runs that VMs try to move preemptively after each zone failure.
     double movedShare { 0.2 };
-    // Share of the VMs that start again, every so many seconds; 0 for never.
+    // Share of the VMs that restart, and the interval of restarts; a share of 0 means never.
     double restartShare { 0 };
     int restartEverySeconds { 8 };
-    // The zone whose VMs get no requests any more from this second on; their callers go to the others.
+    // From this second on, the VMs of the first zone receive no requests; their callers use the other zones.
     int zoneLeftAtSecond { 1000 };
-    // Requests come at this many times the rate, for three seconds out of ten.
+    // Factor on the request rate during three of every ten seconds.
     double surge { 1 };
 };
 
 struct RetryOutcome {
-    // The greatest excess over what the budget allows, over all windows; below 0 where none was used up.
+    // The greatest excess of retries over the allowed number in any window; negative if no window used up its budget.
     double greatestExcess { 0 };
     int retries { 0 };
-    // Retries that the VMs' budgets did not allow.
+    // Retries that the VMs' budgets refused.
     int denied { 0 };
 };
 
 RetryOutcome playRetries(const RetryPlay&);
 
-// A sequence of plays, the same each time: fleets of 6 to 340 VMs, loads and troubles of every kind.
+// A reproducible sequence of simulation parameters: fleets of 6 to 340 VMs with varied loads and faults.
 class RetryPlays {
 public:
-    // The seed counts from 1.
+    // The seeds are 1, 2, 3, ...
     RetryPlay next();
 
 private:
--- a/src/model/RolloutModel.cpp
+++ b/src/model/RolloutModel.cpp
@@ -12,18 +12,18 @@
 namespace {
 
 constexpr Milliseconds step { 100 };
-// A VM tells its evidence about every three steps.
+// Each VM sends its evidence to the aggregators once in so many steps.
 constexpr int stepsBetweenAccounts = 3;
 constexpr int gathererCount = 3;
-// Answers come so long after their sending.
+// Time from a request to its response.
 constexpr int stepsOfAnswer = 2;
 constexpr int stepsOfSlowAnswer = 8;
-// As the deployments set them.
+// The values that deployments use.
 const ExposureLimit limit;
 constexpr Milliseconds rollBackBound { 5000 };
 constexpr int badAnswersBeforeBound = 50;
 constexpr Milliseconds contactTime { 4000 };
-// The order comes when the fleet has run for a while.
+// The fleet runs for a while before the rollout is ordered.
 constexpr Milliseconds orderAt { 5000 };
 constexpr Milliseconds playedBeyondDuration { 6000 };
 
@@ -40,12 +40,12 @@
     int incarnation { 0 };
     std::unique_ptr<Rollout> rollout;
     std::unique_ptr<RolloutGatherer> gatherer;
-    // Neither serves nor speaks before this step: killed or paused.
+    // Killed or paused: the VM neither serves nor communicates before this step.
     int awayUntil { 0 };
-    // Reaches neither other VMs nor the store, and serves.
+    // Disconnected: the VM serves, but reaches neither other VMs nor the store before this step.
     int cutUntil { 0 };
     bool hasBeenKilled { false };
-    // Since when nothing has struck it.
+    // End of the latest fault.
     Milliseconds calmSince { 0 };
 };
 
@@ -99,7 +99,7 @@
         if (!m_play.hasTrouble)
             return;
         for (auto& vm : m_vms) {
-            // Some percent of the VMs within the order's time; gatherers as often as any.
+            // Hits a few percent of the VMs within the order's duration, aggregators as often as other VMs.
             if (!chance(0.0005))
                 continue;
             const auto until = m_step + 5 + pick(40);
@@ -115,7 +115,7 @@
             }
             vm.calmSince = until * step;
         }
-        // A gatherer in the middle of its work.
+        // Additionally kills aggregators while they work.
         if (chance(0.005))
             kill(m_vms[static_cast<std::size_t>(pick(gathererCount))], m_step + 5 + pick(30));
     }
@@ -130,7 +130,7 @@
         vm.hasBeenKilled = true;
     }
 
-    // The list of orders is heard like any news: within some steps, unless the VM or the store is away.
+    // VMs learn of the order within a few steps, unless the VM or the store is unreachable.
     void hearOrder()
     {
         if (m_step < m_orderStep)
@@ -161,7 +161,7 @@
                 ++m_requests;
             const auto route = "r" + std::to_string(pick(m_play.routeCount));
             if (!vm.rollout) {
-                // The VM tells versions apart by its list of runners, which it heard together with the order.
+                // The VM does not know the versions before its list of runners arrives, which comes with the order.
                 continue;
             }
             vm.rollout->noteRequest();
@@ -182,7 +182,7 @@
             if (now() < orderAt + m_play.duration)
                 ++m_outcome.exposed;
             if (m_decision == RolloutDecision::RolledBack && now() - m_decidedAt > rollBackBound)
-                violate("a request went to a version that was rolled back long ago");
+                violate("a request went to the candidate too long after its rollback");
         }
         const bool isBad = chance(isCandidate ? candidatesBadShare(route) : m_play.usualBadShare);
         const bool isSlow = isBad && m_play.fault == VersionFault::Slow;
@@ -248,7 +248,7 @@
             if (m_decision != RolloutDecision::Undecided && m_play.planted != PlantedFault::DecisionTurns)
                 continue;
             if (m_decision != RolloutDecision::Undecided)
-                violate("a decision turned");
+                violate("a recorded decision was overwritten by the opposite one");
             m_decision = *wanted;
             m_decidedAt = now();
         }
@@ -283,11 +283,11 @@
         if (m_fiftyBadAt.count())
             outcome.lastSentAfterFiftyBad = std::max(m_lastSent - m_fiftyBadAt, Milliseconds { 0 });
         if (m_decision == RolloutDecision::Completed)
-            return; // Judged by the count of wrong decisions: no limit holds once all goes there.
+            return; // Counted as a wrong decision instead: no limit applies once all requests go to it.
         if (outcome.exposed > outcome.mostExposed)
-            violate("a bad version received more than its part");
+            violate("a bad version received more requests than the exposure limit allows");
         if (outcome.lastSentAfterFiftyBad > rollBackBound)
-            violate("a bad version was tried for too long");
+            violate("a bad version received requests for too long after its 50th bad response");
     }
 
     const RolloutPlay m_play;
--- a/src/model/RolloutModel.h
+++ b/src/model/RolloutModel.h
@@ -1,11 +1,11 @@
-// Plays roll-outs on a simulated fleet: VMs with callers, the VMs that gather evidence, the platform's store, and
-// runners of a present and a candidate version, in steps of 100 ms, from one seed.
+// Simulates rollouts on a fleet: VMs with callers, aggregators, the platform's store, and runners of a present and a
+// candidate version, in steps of 100 ms; seeded.
 //
 //     const auto outcome = playRollout({ .seed = 7, .fault = VersionFault::Fails });
 //     if (!outcome.violation.empty()) ...
 //
-// The deciding parts are the ones that lupinknot-entry runs (src/rollout); calls between VMs take a step, may be lost,
-// and end with a cut, a pause or a kill. A pure function of its arguments; thread-safe.
+// The simulation runs the decision code of lupinknot-entry (src/rollout). Calls between VMs take one step, may be lost,
+// and fail when a VM is disconnected, paused or killed. A pure function of its arguments; thread-safe.
 #pragma once
 
 #include "lupinknot/EnumNames.h"
@@ -15,15 +15,15 @@
 
 namespace lupinknot::internal {
 
-// What is wrong with the candidate.
+// The defect of the candidate version.
 enum class VersionFault {
     None,
     Fails,
-    FailsLate, // From some instant after the order on.
-    FailsUnderLoad, // While requests come faster than on average.
+    FailsLate, // From failsFromSecond after the order on.
+    FailsUnderLoad, // While the request rate is above average.
     FailsOnOneRoute,
-    Slow, // Answers take several times as long, which callers count as bad.
-    FlakyBothSides, // Both versions fail a share of their answers alike: the candidate is good.
+    Slow, // Responses take several times as long and are rated bad.
+    FlakyBothSides, // Both versions fail the same share of requests, so the candidate counts as good.
 };
 
 inline constexpr std::array<EnumName<VersionFault>, 7> versionFaultNames { {
@@ -36,12 +36,13 @@
     { VersionFault::FlakyBothSides, "good, both sides flaky" },
 } };
 
-// Faults built into the fleet to show that the checks find them.
+// Faults injected into the fleet to prove that the checks detect them.
 enum class PlantedFault {
     None,
-    UndividedBudget, // Each VM takes the whole fixed number.
-    LateVmGoesOn, // Every other VM neither tells nor hears anything, and goes on trying the candidate.
-    DecisionTurns, // The store's record is written without a condition.
+    UndividedBudget, // Each VM uses the whole fixed part of the exposure limit instead of its share.
+    LateVmGoesOn, // Every second VM sends no evidence, receives no directives or decisions, and keeps trying the
+                  // candidate.
+    DecisionTurns, // The store's record of the decision is overwritten unconditionally.
 };
 
 struct RolloutPlay {
@@ -50,28 +51,28 @@
     double requestsPerSecond { 100 };
     int routeCount { 2 };
     VersionFault fault { VersionFault::None };
-    // Share of the candidate's answers that are bad where it is.
+    // Share of bad responses of the candidate where its defect shows.
     double badShare { 0.4 };
-    // Share of all answers that are bad whatever the version.
+    // Share of bad responses of both versions apart from the defect.
     double usualBadShare { 0.01 };
     double failsFromSecond { 4 };
     Milliseconds duration { 12000 };
-    // Whether VMs are killed, paused and cut off, calls are lost, and the store goes away, by chance.
+    // Randomly kills, pauses and disconnects VMs, loses calls, and makes the store unreachable.
     bool hasTrouble { true };
     PlantedFault planted { PlantedFault::None };
 };
 
 struct RolloutOutcome {
     RolloutDecision decision { RolloutDecision::Undecided };
-    // From the order to the store's record, 0 while there is none.
+    // Time from the order to the decision in the store; 0 if there is none.
     Milliseconds decidedAfter { 0 };
-    // Requests that the candidate received from VMs in touch until the order's time was over, and the most that a bad
-    // one may receive.
+    // Requests that connected VMs sent to the candidate within the order's duration, and the most that a bad candidate
+    // may receive.
     int exposed { 0 };
     int mostExposed { 0 };
-    // From the candidate's 50th bad answer to the last request sent to it; 0 when there were not so many.
+    // Time from the candidate's 50th bad response to the last request sent to it; 0 if it had fewer bad responses.
     Milliseconds lastSentAfterFiftyBad { 0 };
-    // Names the first rule that was broken; empty when all were kept.
+    // The first rule that was violated; empty if none was.
     std::string violation;
 };
 
--- a/test/LimitModelTest.cpp
+++ b/test/LimitModelTest.cpp
@@ -1,11 +1,13 @@
-// An endpoint's limit on simulated fleets of 3 to 300 VMs whose VMs are killed, paused and cut off, while the limit
-// falls, rises, ends and comes back and the endpoint starts again.
+// Keeps one endpoint's limit on simulated fleets of 3 to 300 VMs, while VMs are killed, paused and disconnected, the
+// limit falls, rises, ends and returns, and the endpoint restarts.
 //
-// Seeds that have shown a fault stay here: 35 and 155 (a VM that counts is killed again and again, and each of its
-// starts lets a burst through), 154 (all three VMs that count are cut off together: 65 others count alone and each
-// sends one at once), 1270 and 1511 (the limit falls to nothing while permits are out and VMs that count start again),
-// 2478, 4215 and 7479 (a VM that counts starts again or has stood still, and the first to ask has heard the old limit
-// long ago), 6799 (a limit of 400 a second falls to nothing: what was under way is allowed).
+// Seeds that showed a fault stay in the tests:
+// - 35, 155: a limit keeper is killed repeatedly, and each of its starts allows a burst.
+// - 154: all three limit keepers are disconnected together; 65 other VMs count alone and each sends one request at
+// once.
+// - 1270, 1511: the limit falls to 0 while permits are outstanding and limit keepers restart.
+// - 2478, 4215, 7479: a limit keeper restarts or was frozen, and the first VM to ask knows an outdated limit.
+// - 6799: a limit of 400 per second falls to 0; requests already on their way are allowed.
 #include "model/LimitModel.h"
 
 #include <string>
@@ -33,7 +35,7 @@
         CHECK_TEXT(outcome.worstExcess <= 0, ("seed " + std::to_string(seed)).c_str());
     }
 
-    // How many of the plays show that the promise was broken.
+    // The number of simulations in which the limit was exceeded.
     static int brokenPlays(PlantedLimitFault planted, std::uint64_t count)
     {
         int broken = 0;
@@ -46,7 +48,7 @@
     }
 };
 
-TEST(LimitModel, KeepsTheLimitThroughTroubleInPlaysOfAllSizes)
+TEST(LimitModel, KeepsTheLimitUnderFaultsOnFleetsOfAllSizes)
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed)
         checkKept(seed);
@@ -54,8 +56,8 @@
         checkKept(static_cast<std::uint64_t>(seed));
 }
 
-// The endpoint is used to nine tenths of what it allows, within what one request more or less makes out.
-TEST(LimitModel, UsesTheLimitWhereverTheRequestsCome)
+// VMs use at least nine tenths of the limit, whichever of them receive the requests.
+TEST(LimitModel, UsesTheLimitWhicheverVmsReceiveTheRequests)
 {
     for (const auto vms : vmCounts) {
         for (const bool isUneven : { false, true }) {
@@ -66,7 +68,7 @@
     }
 }
 
-TEST(LimitModel, FindsThePlantedFaults)
+TEST(LimitModel, DetectsInjectedFaults)
 {
     for (const auto planted :
         { PlantedLimitFault::WholeSubstitutes, PlantedLimitFault::KeepsOldLimit, PlantedLimitFault::EachCounts })
--- a/test/RolloutModelTest.cpp
+++ b/test/RolloutModelTest.cpp
@@ -1,5 +1,5 @@
-// Roll-outs on the model of a fleet, with seeds: the exposure of a bad version stays within its limit whatever strikes,
-// decisions are right nearly always, and faults that are built in are found.
+// Seeded rollouts on a simulated fleet: under faults, a bad version receives no more requests than its limit allows,
+// nearly all decisions are right, and the checks detect injected faults.
 #include "model/RolloutModel.h"
 
 #include <CppUTest/TestHarness.h>
@@ -40,7 +40,7 @@
 
 TEST_GROUP(RolloutModel) {};
 
-TEST(RolloutModel, KeepsTheRulesWhateverIsWrongWithTheCandidate)
+TEST(RolloutModel, KeepsTheRulesForEveryCandidateDefect)
 {
     for (const auto& fault : versionFaultNames) {
         for (const double rate : { 10.0, 46.0, 160.0 }) {
@@ -64,7 +64,7 @@
     LONGS_EQUAL(playsOfEach, playAll({ .requestsPerSecond = 100 }, playsOfEach, 301).right);
 }
 
-TEST(RolloutModel, RollsBadCandidatesBack)
+TEST(RolloutModel, RollsBackBadCandidates)
 {
     for (const auto fault : { VersionFault::Fails, VersionFault::FailsOnOneRoute, VersionFault::Slow }) {
         const auto tally = playAll({ .requestsPerSecond = 100, .fault = fault }, playsOfEach, 401);
@@ -72,17 +72,18 @@
     }
 }
 
-TEST(RolloutModel, FindsABudgetThatIsNotDivided)
+TEST(RolloutModel, DetectsAnUndividedExposureBudget)
 {
     const auto tally = playAll({ .requestsPerSecond = 46,
                                    .fault = VersionFault::FailsLate,
                                    .failsFromSecond = 8,
                                    .planted = PlantedFault::UndividedBudget },
         playsOfEach);
-    CHECK_TEXT(tally.broken > 0, "each VM spends the whole fixed number");
+    CHECK_TEXT(
+        tally.broken > 0, "no simulation detected that each VM spends the whole fixed part of the exposure limit");
 }
 
-TEST(RolloutModel, FindsALateVmThatGoesOn)
+TEST(RolloutModel, DetectsAnIsolatedVmThatKeepsTrying)
 {
     const auto tally = playAll({ .vmCount = 90,
                                    .requestsPerSecond = 400,
@@ -90,15 +91,15 @@
                                    .badShare = 1,
                                    .planted = PlantedFault::LateVmGoesOn },
         40);
-    CHECK_TEXT(tally.broken > 0, "VMs that hear nobody try the candidate for ever");
+    CHECK_TEXT(tally.broken > 0, "no simulation detected that isolated VMs keep trying the candidate");
 }
 
-TEST(RolloutModel, FindsADecisionThatTurns)
+TEST(RolloutModel, DetectsAnOverwrittenDecision)
 {
     const auto tally = playAll({ .requestsPerSecond = 100,
                                    .fault = VersionFault::FailsLate,
                                    .failsFromSecond = 10.5,
                                    .planted = PlantedFault::DecisionTurns },
         40);
-    CHECK_TEXT(tally.broken > 0, "the later of two gatherers overwrites the record");
+    CHECK_TEXT(tally.broken > 0, "no simulation detected that the later of two aggregators overwrites the decision");
 }
