--- a/src/model/LimitModel.cpp
+++ b/src/model/LimitModel.cpp
@@ -18,14 +18,14 @@
 
 namespace {
 
-// The endpoint states its first limit at this time; the simulation ends at playLength.
-constexpr Milliseconds limitFrom { 2000 };
-constexpr Milliseconds playLength { 32'000 };
-constexpr Milliseconds answerTime { 30 };
-constexpr Milliseconds askLimit { 60 };
+// The endpoint states its first limit at this time; the simulation ends at simulatedTime.
+constexpr Milliseconds limitStartsAt { 2000 };
+constexpr Milliseconds simulatedTime { 32'000 };
+constexpr Milliseconds responseTime { 30 };
+constexpr Milliseconds permitCallTimeout { 60 };
 // How long a request may wait for its send slot; half of the requests do not wait at all.
-constexpr Milliseconds patience { 700 };
-constexpr Milliseconds demandToldEvery { 500 };
+constexpr Milliseconds sendSlotTimeout { 700 };
+constexpr Milliseconds demandExchangeInterval { 500 };
 constexpr Milliseconds demandWindow { 2000 };
 constexpr Milliseconds restartTime { 300 };
 constexpr std::size_t zoneCount = 4;
@@ -33,10 +33,10 @@
 constexpr double windowSeconds = 4;
 constexpr double limitFactor = 1.5;
 constexpr double limitSlack = 5;
-constexpr Milliseconds contactTime { 3000 };
+constexpr Milliseconds recoveryTime { 3000 };
 constexpr Milliseconds knownAfter { 500 };
-constexpr double fewestRequests = 6;
-constexpr double shareOfTheBusiest = 0.9;
+constexpr double minRequestsPerSecond = 6;
+constexpr double busiestVmShare = 0.9;
 
 // A time span in which the endpoint states one limit; perSecond is empty if it states none.
 struct LimitSpan {
@@ -48,8 +48,8 @@
 struct Arrival {
     Milliseconds at;
     std::size_t vm;
-    // isTold: the sender had known the limit for at least knownAfter. isCounted: it also had no recent fault.
-    bool isTold;
+    // knowsLimit: the sender had known the limit for at least knownAfter. isCounted: it also had no recent fault.
+    bool knowsLimit;
     bool isCounted;
 };
 
@@ -57,13 +57,13 @@
     bool isUp { true };
     Milliseconds pausedUntil { 0 };
     // Disconnected from the other VMs until then.
-    Milliseconds cutUntil { 0 };
-    Milliseconds struckUntil { 0 };
+    Milliseconds disconnectedUntil { 0 };
+    Milliseconds affectedUntil { 0 };
     unsigned incarnation { 0 };
     // The endpoint's incarnation that this VM knows, and when a response to this VM first stated a limit.
     unsigned start { 0 };
     HeardLimit limit;
-    std::optional<Milliseconds> toldAt;
+    std::optional<Milliseconds> limitKnownAt;
     Milliseconds noPermitUntil { 0 };
     LimitKeeper keeper;
     LimitKeeper keeperAlone;
@@ -77,9 +77,9 @@
     bool isUsed { false };
 };
 
-class Play {
+class LimitSimulation {
 public:
-    explicit Play(const LimitPlay&);
+    explicit LimitSimulation(const LimitPlay&);
     LimitOutcome run();
 
 private:
@@ -92,38 +92,39 @@
     };
 
     void after(Milliseconds pause, Action action) { m_events.push({ m_now + pause, m_order++, std::move(action) }); }
-    double drawn() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
+    double randomUnit() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
     Milliseconds between(int least, int most)
     {
         return Milliseconds { std::uniform_int_distribution<int>(least, most)(m_random) };
     }
-    std::size_t anyVm() { return std::uniform_int_distribution<std::size_t>(0, m_play.vmCount - 1)(m_random); }
+    std::size_t randomVm() { return std::uniform_int_distribution<std::size_t>(0, m_scenario.vmCount - 1)(m_random); }
 
-    Vm freshVm(std::size_t number) const;
+    Vm newVm(std::size_t number) const;
     void drawLimits();
-    void drawTroubles();
-    void strike(std::size_t vm, Milliseconds time);
+    void scheduleFaults();
+    void noteFault(std::size_t vm, Milliseconds time);
     const LimitSpan& spanAt(Milliseconds at) const;
 
-    void requestLater();
-    void requestAt(std::size_t vm);
+    void scheduleNextRequest();
+    void handleRequest(std::size_t vm);
     void askForPermit(std::size_t vm, std::size_t rank, Milliseconds begunAt);
-    void permitAnswered(std::size_t vm, unsigned incarnation, const PermitAnswer&);
+    void handlePermitAnswer(std::size_t vm, unsigned incarnation, const PermitAnswer&);
     double shareAt(std::size_t vm, std::size_t rank);
     bool reaches(std::size_t vm, std::size_t other) const;
     void sendBySchedule(std::size_t vm);
-    void tellDemand();
+    void exchangeDemand();
     void send(std::size_t vm);
-    void answered(std::size_t vm, unsigned incarnation, Milliseconds sentAt, const LimitSpan& said, bool isTurnedAway);
+    void handleResponse(
+        std::size_t vm, unsigned incarnation, Milliseconds sentAt, const LimitSpan& stated, bool isRejected);
     void refused(std::size_t vm) { m_refusals.push_back({ m_now, vm, false, false }); }
     std::string endpointName(std::size_t vm) const;
-    std::optional<double> believed(const Vm& vm) const { return vm.limit.perSecond(); }
+    std::optional<double> knownLimit(const Vm& vm) const { return vm.limit.perSecond(); }
 
     double allowed(Milliseconds from, Milliseconds to) const;
-    void settleBound(LimitOutcome&) const;
-    void settleUse(LimitOutcome&) const;
+    void evaluateBound(LimitOutcome&) const;
+    void evaluateUse(LimitOutcome&) const;
 
-    const LimitPlay m_play;
+    const LimitPlay m_scenario;
     std::mt19937_64 m_random;
     Milliseconds m_now { 0 };
     std::uint64_t m_order { 0 };
@@ -139,139 +140,140 @@
     std::uint64_t m_calls { 0 };
 };
 
-Play::Play(const LimitPlay& play)
-    : m_play(play)
-    , m_random(play.seed)
-    , m_requestsPerSecond(std::max(play.demand * play.perSecond, fewestRequests))
+LimitSimulation::LimitSimulation(const LimitPlay& scenario)
+    : m_scenario(scenario)
+    , m_random(scenario.seed)
+    , m_requestsPerSecond(std::max(scenario.demand * scenario.perSecond, minRequestsPerSecond))
 {
     std::vector<KeeperCandidate> candidates;
-    for (std::size_t i = 0; i < play.vmCount; ++i) {
+    for (std::size_t i = 0; i < scenario.vmCount; ++i) {
         m_names.push_back("10.0." + std::to_string(i / 250) + "." + std::to_string(i % 250) + ":7200");
         candidates.push_back({ m_names.back(), "zone-" + std::to_string(i % zoneCount) });
     }
-    m_keepers = chooseEndpointKeepers("endpoint-" + std::to_string(play.seed), candidates);
-    m_busiest = anyVm();
-    for (std::size_t i = 0; i < play.vmCount; ++i)
-        m_vms.push_back(freshVm(i));
+    m_keepers = chooseEndpointKeepers("endpoint-" + std::to_string(scenario.seed), candidates);
+    m_busiest = randomVm();
+    for (std::size_t i = 0; i < scenario.vmCount; ++i)
+        m_vms.push_back(newVm(i));
     drawLimits();
-    if (play.hasTrouble)
-        drawTroubles();
+    if (scenario.hasTrouble)
+        scheduleFaults();
 }
 
-Vm Play::freshVm(std::size_t number) const
+Vm LimitSimulation::newVm(std::size_t number) const
 {
     Vm vm;
     vm.keeperAlone = LimitKeeper(fractionOfName(m_names[number]));
-    vm.requestShare = 1.0 / static_cast<double>(m_play.vmCount);
+    vm.requestShare = 1.0 / static_cast<double>(m_scenario.vmCount);
     return vm;
 }
 
-void Play::drawLimits()
+void LimitSimulation::drawLimits()
 {
     m_spans.push_back({ Milliseconds { 0 }, std::nullopt, 0 });
-    m_spans.push_back({ limitFrom, m_play.perSecond, 0 });
-    if (!m_play.hasTrouble)
+    m_spans.push_back({ limitStartsAt, m_scenario.perSecond, 0 });
+    if (!m_scenario.hasTrouble)
         return;
     constexpr std::array<double, 4> factors { 0.3, 2, 0, 1 };
     unsigned start = 0;
-    for (auto at = limitFrom + between(4000, 9000); at < playLength; at += between(4000, 9000)) {
-        const auto draw = drawn();
+    for (auto at = limitStartsAt + between(4000, 9000); at < simulatedTime; at += between(4000, 9000)) {
+        const auto draw = randomUnit();
         if (draw < 0.2) {
             m_spans.push_back({ at, std::nullopt, start });
         } else if (draw < 0.4) {
             // The endpoint restarts under the same id and states a limit a little later.
             m_spans.push_back({ at, std::nullopt, ++start });
-            m_spans.push_back({ at + between(300, 2000), m_play.perSecond, start });
+            m_spans.push_back({ at + between(300, 2000), m_scenario.perSecond, start });
         } else {
-            const auto factor = factors.at(static_cast<std::size_t>(drawn() * factors.size()));
-            m_spans.push_back({ at, factor * m_play.perSecond, start });
+            const auto factor = factors.at(static_cast<std::size_t>(randomUnit() * factors.size()));
+            m_spans.push_back({ at, factor * m_scenario.perSecond, start });
         }
     }
 }
 
-void Play::drawTroubles()
+void LimitSimulation::scheduleFaults()
 {
-    for (auto at = between(0, 6000); at < playLength; at += between(800, 6000)) {
-        const auto draw = drawn();
+    for (auto at = between(0, 6000); at < simulatedTime; at += between(800, 6000)) {
+        const auto draw = randomUnit();
         // Half of the faults hit the limit keeper or its last substitute.
-        const auto struck = drawn() < 0.5 ? m_keepers[drawn() < 0.7 ? 0 : m_keepers.size() - 1] : anyVm();
+        const auto faultyVm
+            = randomUnit() < 0.5 ? m_keepers[randomUnit() < 0.7 ? 0 : m_keepers.size() - 1] : randomVm();
         const auto time = between(200, 5000);
-        after(at, [this, draw, struck, time] {
-            auto& vm = m_vms[struck];
+        after(at, [this, draw, faultyVm, time] {
+            auto& vm = m_vms[faultyVm];
             if (draw < 0.4) {
                 const auto incarnation = vm.incarnation + 1;
-                vm = freshVm(struck);
+                vm = newVm(faultyVm);
                 vm.isUp = false;
                 vm.incarnation = incarnation;
                 vm.startedAt = m_now + restartTime;
-                strike(struck, restartTime);
+                noteFault(faultyVm, restartTime);
                 after(restartTime, [&vm] { vm.isUp = true; });
             } else if (draw < 0.7) {
                 vm.pausedUntil = m_now + time;
-                strike(struck, time);
+                noteFault(faultyVm, time);
             } else {
                 // Disconnects a group of VMs of one availability zone together.
-                for (std::size_t i = 0; i < 1 + m_play.vmCount / 4; ++i) {
-                    const auto other = (struck + zoneCount * i) % m_play.vmCount;
-                    m_vms[other].cutUntil = m_now + time;
-                    strike(other, time);
+                for (std::size_t i = 0; i < 1 + m_scenario.vmCount / 4; ++i) {
+                    const auto other = (faultyVm + zoneCount * i) % m_scenario.vmCount;
+                    m_vms[other].disconnectedUntil = m_now + time;
+                    noteFault(other, time);
                 }
             }
         });
     }
 }
 
-void Play::strike(std::size_t vm, Milliseconds time)
+void LimitSimulation::noteFault(std::size_t vm, Milliseconds time)
 {
-    m_vms[vm].struckUntil = std::max(m_vms[vm].struckUntil, m_now + time + contactTime);
+    m_vms[vm].affectedUntil = std::max(m_vms[vm].affectedUntil, m_now + time + recoveryTime);
 }
 
-const LimitSpan& Play::spanAt(Milliseconds at) const
+const LimitSpan& LimitSimulation::spanAt(Milliseconds at) const
 {
     const auto next = std::upper_bound(m_spans.begin(), m_spans.end(), at,
         [](Milliseconds instant, const LimitSpan& span) { return instant < span.from; });
     return *std::prev(next);
 }
 
-std::string Play::endpointName(std::size_t vm) const { return "e@" + std::to_string(m_vms[vm].start); }
+std::string LimitSimulation::endpointName(std::size_t vm) const { return "e@" + std::to_string(m_vms[vm].start); }
 
-LimitOutcome Play::run()
+LimitOutcome LimitSimulation::run()
 {
-    requestLater();
-    if (m_play.way == LimitWay::DemandShares)
-        tellDemand();
-    while (!m_events.empty() && m_events.top().at < playLength) {
+    scheduleNextRequest();
+    if (m_scenario.way == LimitWay::DemandShares)
+        exchangeDemand();
+    while (!m_events.empty() && m_events.top().at < simulatedTime) {
         const auto event = m_events.top();
         m_events.pop();
         m_now = event.at;
         event.action();
     }
     LimitOutcome outcome;
-    settleBound(outcome);
-    settleUse(outcome);
-    outcome.callsPerSecond = static_cast<double>(m_calls) * 1000 / static_cast<double>(playLength.count());
+    evaluateBound(outcome);
+    evaluateUse(outcome);
+    outcome.callsPerSecond = static_cast<double>(m_calls) * 1000 / static_cast<double>(simulatedTime.count());
     return outcome;
 }
 
-void Play::requestLater()
+void LimitSimulation::scheduleNextRequest()
 {
     const auto pause = std::exponential_distribution<double>(m_requestsPerSecond)(m_random) * 1000;
     after(Milliseconds { static_cast<std::int64_t>(pause) }, [this] {
-        requestAt(m_play.isUneven && drawn() < shareOfTheBusiest ? m_busiest : anyVm());
-        requestLater();
+        handleRequest(m_scenario.isUneven && randomUnit() < busiestVmShare ? m_busiest : randomVm());
+        scheduleNextRequest();
     });
 }
 
-void Play::requestAt(std::size_t number)
+void LimitSimulation::handleRequest(std::size_t number)
 {
     auto& vm = m_vms[number];
     if (!vm.isUp || m_now < vm.pausedUntil)
         return;
-    if (m_play.way == LimitWay::DemandShares)
+    if (m_scenario.way == LimitWay::DemandShares)
         vm.requests.push_back(m_now);
-    if (!believed(vm))
+    if (!knownLimit(vm))
         send(number);
-    else if (m_play.way != LimitWay::OneCounts)
+    else if (m_scenario.way != LimitWay::OneCounts)
         sendBySchedule(number);
     else if (m_now < vm.noPermitUntil)
         refused(number);
@@ -279,15 +281,16 @@
         askForPermit(number, 0, m_now);
 }
 
-bool Play::reaches(std::size_t number, std::size_t other) const
+bool LimitSimulation::reaches(std::size_t number, std::size_t other) const
 {
-    const auto isOpen = [this](const Vm& vm) { return vm.isUp && m_now >= vm.pausedUntil && m_now >= vm.cutUntil; };
+    const auto isOpen
+        = [this](const Vm& vm) { return vm.isUp && m_now >= vm.pausedUntil && m_now >= vm.disconnectedUntil; };
     return isOpen(m_vms[number]) && isOpen(m_vms[other]);
 }
 
-double Play::shareAt(std::size_t number, std::size_t rank)
+double LimitSimulation::shareAt(std::size_t number, std::size_t rank)
 {
-    if (m_play.planted == PlantedLimitFault::WholeSubstitutes)
+    if (m_scenario.planted == PlantedLimitFault::WholeSubstitutes)
         return LimitKeeper::wholeShare;
     auto& vm = m_vms[number];
     if (vm.incarnation > 0 && m_now < vm.startedAt + KeeperWatch::goneAfter)
@@ -304,22 +307,23 @@
     return vm.watch.shareOfSubstitute(before, m_now);
 }
 
-void Play::askForPermit(std::size_t number, std::size_t rank, Milliseconds begunAt)
+void LimitSimulation::askForPermit(std::size_t number, std::size_t rank, Milliseconds begunAt)
 {
     auto& vm = m_vms[number];
     while (
         rank < m_keepers.size() && m_keepers[rank] != number && vm.watch.isPassedOver(m_names[m_keepers[rank]], m_now))
         ++rank;
-    const LimitNews news { believed(vm), m_now - vm.limit.heardAt() };
-    const PermitRequest request { endpointName(number), news, drawn() < 0.5 ? patience : Milliseconds { 0 } };
+    const LimitNews news { knownLimit(vm), m_now - vm.limit.heardAt() };
+    const PermitRequest request { endpointName(number), news,
+        randomUnit() < 0.5 ? sendSlotTimeout : Milliseconds { 0 } };
     const auto incarnation = vm.incarnation;
-    if (m_play.planted == PlantedLimitFault::EachCounts) {
-        permitAnswered(number, incarnation, vm.keeper.ask(request, LimitKeeper::wholeShare, m_now));
+    if (m_scenario.planted == PlantedLimitFault::EachCounts) {
+        handlePermitAnswer(number, incarnation, vm.keeper.ask(request, LimitKeeper::wholeShare, m_now));
         return;
     }
     if (rank >= m_keepers.size() || m_keepers[rank] == number) {
-        const auto part = LimitKeeper::substituteShare / static_cast<double>(m_play.vmCount);
-        permitAnswered(number, incarnation,
+        const auto part = LimitKeeper::substituteShare / static_cast<double>(m_scenario.vmCount);
+        handlePermitAnswer(number, incarnation,
             rank < m_keepers.size() ? vm.keeper.ask(request, shareAt(number, rank), m_now)
                                     : vm.keeperAlone.ask(request, part, m_now));
         return;
@@ -329,7 +333,7 @@
     after(there, [this, number, rank, request, incarnation, begunAt] {
         const auto keeper = m_keepers[rank];
         if (!reaches(number, keeper)) {
-            after(askLimit, [this, number, rank, incarnation, begunAt] {
+            after(permitCallTimeout, [this, number, rank, incarnation, begunAt] {
                 auto& asker = m_vms[number];
                 if (asker.incarnation != incarnation || !asker.isUp)
                     return;
@@ -341,19 +345,19 @@
         const auto answer = m_vms[keeper].keeper.ask(request, shareAt(keeper, rank), m_now);
         after(between(1, 2), [this, number, keeper, incarnation, answer] {
             m_vms[number].watch.noteAnswer(m_names[keeper], true, m_now);
-            permitAnswered(number, incarnation, answer);
+            handlePermitAnswer(number, incarnation, answer);
         });
     });
 }
 
-void Play::permitAnswered(std::size_t number, unsigned incarnation, const PermitAnswer& answer)
+void LimitSimulation::handlePermitAnswer(std::size_t number, unsigned incarnation, const PermitAnswer& answer)
 {
     auto& vm = m_vms[number];
     if (vm.incarnation != incarnation || !vm.isUp)
         return;
     if (m_now < vm.pausedUntil) {
         after(vm.pausedUntil - m_now,
-            [this, number, incarnation, answer] { permitAnswered(number, incarnation, answer); });
+            [this, number, incarnation, answer] { handlePermitAnswer(number, incarnation, answer); });
         return;
     }
     vm.limit.noteNews(answer.news.perSecond, m_now - answer.news.age);
@@ -362,12 +366,12 @@
         refused(number);
         return;
     }
-    const auto before = believed(vm);
+    const auto before = knownLimit(vm);
     after(answer.wait, [this, number, incarnation, before] {
         auto& sender = m_vms[number];
         if (sender.incarnation != incarnation || !sender.isUp || m_now < sender.pausedUntil)
             return;
-        const auto present = believed(sender);
+        const auto present = knownLimit(sender);
         if (present && (!before || *present < *before))
             return;
         send(number);
@@ -375,14 +379,14 @@
 }
 
 // For the ways in which each VM enforces its own share of the limit.
-void Play::sendBySchedule(std::size_t number)
+void LimitSimulation::sendBySchedule(std::size_t number)
 {
     auto& vm = m_vms[number];
-    const auto limit = *believed(vm);
-    double rate = limit / static_cast<double>(m_play.vmCount);
-    if (m_play.way == LimitWay::DemandShares)
+    const auto limit = *knownLimit(vm);
+    double rate = limit / static_cast<double>(m_scenario.vmCount);
+    if (m_scenario.way == LimitWay::DemandShares)
         rate = limit * vm.requestShare;
-    if (m_play.way == LimitWay::BackOff) {
+    if (m_scenario.way == LimitWay::BackOff) {
         if (vm.ownRate <= 0)
             vm.ownRate = limit / 2;
         vm.ownRate = std::min(vm.ownRate, limit);
@@ -397,27 +401,27 @@
     send(number);
 }
 
-void Play::tellDemand()
+void LimitSimulation::exchangeDemand()
 {
     double all = 0;
-    std::vector<double> counts(m_play.vmCount, 0);
-    for (std::size_t i = 0; i < m_play.vmCount; ++i) {
+    std::vector<double> counts(m_scenario.vmCount, 0);
+    for (std::size_t i = 0; i < m_scenario.vmCount; ++i) {
         std::erase_if(m_vms[i].requests, [this](Milliseconds at) { return m_now - at > demandWindow; });
         counts[i] = static_cast<double>(m_vms[i].requests.size());
         all += counts[i];
     }
-    for (std::size_t i = 0; i < m_play.vmCount; ++i) {
-        const bool hears = m_vms[i].isUp && m_now >= m_vms[i].pausedUntil && m_now >= m_vms[i].cutUntil;
-        if (hears && all > 0)
+    for (std::size_t i = 0; i < m_scenario.vmCount; ++i) {
+        const bool isConnected = m_vms[i].isUp && m_now >= m_vms[i].pausedUntil && m_now >= m_vms[i].disconnectedUntil;
+        if (isConnected && all > 0)
             m_vms[i].requestShare = counts[i] / all;
     }
     // Each VM sends its count to all others.
-    if (m_now >= limitFrom)
-        m_calls += m_play.vmCount * (m_play.vmCount - 1);
-    after(demandToldEvery, [this] { tellDemand(); });
+    if (m_now >= limitStartsAt)
+        m_calls += m_scenario.vmCount * (m_scenario.vmCount - 1);
+    after(demandExchangeInterval, [this] { exchangeDemand(); });
 }
 
-void Play::send(std::size_t number)
+void LimitSimulation::send(std::size_t number)
 {
     auto& vm = m_vms[number];
     const auto sentAt = m_now;
@@ -428,42 +432,43 @@
         if (sender.start != span.start) {
             // The endpoint list shows the new incarnation.
             sender.start = span.start;
-            sender.toldAt.reset();
+            sender.limitKnownAt.reset();
             sender.limit = {};
         }
-        const bool isTold = sender.toldAt && m_now - *sender.toldAt >= knownAfter;
-        const bool isKept = span.perSecond && isTold;
-        m_arrivals.push_back({ m_now, number, isKept, isKept && m_now >= sender.struckUntil });
+        const bool knowsLimit = sender.limitKnownAt && m_now - *sender.limitKnownAt >= knownAfter;
+        const bool isKept = span.perSecond && knowsLimit;
+        m_arrivals.push_back({ m_now, number, isKept, isKept && m_now >= sender.affectedUntil });
         const auto isOld = [this](const Arrival& arrival) { return m_now - arrival.at >= Milliseconds { 1000 }; };
         const auto recent = std::find_if(m_arrivals.rbegin(), m_arrivals.rend(), isOld) - m_arrivals.rbegin();
-        const bool isTurnedAway = m_play.way == LimitWay::BackOff && span.perSecond
+        const bool isRejected = m_scenario.way == LimitWay::BackOff && span.perSecond
             && static_cast<double>(recent) > std::max(*span.perSecond, 1.0);
-        after(answerTime, [this, number, incarnation, sentAt, span, isTurnedAway] {
-            answered(number, incarnation, sentAt, span, isTurnedAway);
+        after(responseTime, [this, number, incarnation, sentAt, span, isRejected] {
+            handleResponse(number, incarnation, sentAt, span, isRejected);
         });
     });
 }
 
-void Play::answered(
-    std::size_t number, unsigned incarnation, Milliseconds sentAt, const LimitSpan& said, bool isTurnedAway)
+void LimitSimulation::handleResponse(
+    std::size_t number, unsigned incarnation, Milliseconds sentAt, const LimitSpan& stated, bool isRejected)
 {
     auto& vm = m_vms[number];
-    if (vm.incarnation != incarnation || !vm.isUp || vm.start != said.start)
+    if (vm.incarnation != incarnation || !vm.isUp || vm.start != stated.start)
         return;
     if (m_now < vm.pausedUntil) {
-        after(vm.pausedUntil - m_now, [this, number, incarnation, sentAt, said, isTurnedAway] {
-            answered(number, incarnation, sentAt, said, isTurnedAway);
+        after(vm.pausedUntil - m_now, [this, number, incarnation, sentAt, stated, isRejected] {
+            handleResponse(number, incarnation, sentAt, stated, isRejected);
         });
         return;
     }
-    const bool isIgnored = m_play.planted == PlantedLimitFault::KeepsOldLimit && vm.limit.perSecond() && said.perSecond;
-    const auto change = isIgnored ? LimitChange::None : vm.limit.noteAnswer(said.perSecond, sentAt, m_now);
-    if (said.perSecond)
-        vm.toldAt = vm.toldAt.value_or(m_now);
+    const bool isIgnored
+        = m_scenario.planted == PlantedLimitFault::KeepsOldLimit && vm.limit.perSecond() && stated.perSecond;
+    const auto change = isIgnored ? LimitChange::None : vm.limit.noteAnswer(stated.perSecond, sentAt, m_now);
+    if (stated.perSecond)
+        vm.limitKnownAt = vm.limitKnownAt.value_or(m_now);
     else
-        vm.toldAt.reset();
-    vm.ownRate = isTurnedAway ? vm.ownRate / 2 : vm.ownRate * 1.05;
-    if (change == LimitChange::None || m_play.way != LimitWay::OneCounts)
+        vm.limitKnownAt.reset();
+    vm.ownRate = isRejected ? vm.ownRate / 2 : vm.ownRate * 1.05;
+    if (change == LimitChange::None || m_scenario.way != LimitWay::OneCounts)
         return;
     for (const auto keeper : m_keepers) {
         m_calls += keeper != number;
@@ -474,7 +479,7 @@
 
 // The number of requests that the endpoint may receive in the span. After a limit falls, the previous limit applies for
 // knownAfter, because requests of VMs that learned the new limit within that time are not counted.
-double Play::allowed(Milliseconds from, Milliseconds to) const
+double LimitSimulation::allowed(Milliseconds from, Milliseconds to) const
 {
     const auto overlap = [from, to](Milliseconds begin, Milliseconds end) {
         return static_cast<double>(std::max(std::min(end, to) - std::max(begin, from), Milliseconds { 0 }).count())
@@ -482,7 +487,7 @@
     };
     double sum = 0;
     for (std::size_t i = 0; i < m_spans.size(); ++i) {
-        const auto end = i + 1 < m_spans.size() ? m_spans[i + 1].from : playLength;
+        const auto end = i + 1 < m_spans.size() ? m_spans[i + 1].from : simulatedTime;
         const auto limit = m_spans[i].perSecond.value_or(0);
         sum += limit * overlap(m_spans[i].from, end);
         const auto before = i > 0 ? m_spans[i - 1].perSecond.value_or(0) : 0;
@@ -492,7 +497,7 @@
     return limitFactor * sum + limitSlack;
 }
 
-void Play::settleBound(LimitOutcome& outcome) const
+void LimitSimulation::evaluateBound(LimitOutcome& outcome) const
 {
     std::vector<Milliseconds> counted;
     for (const auto& arrival : m_arrivals) {
@@ -512,7 +517,7 @@
                 break;
             since = span->from;
         }
-        if (at < since + contactTime)
+        if (at < since + recoveryTime)
             continue;
         const auto count = static_cast<double>(last - first + 1);
         const auto most = allowed(at - window, at);
@@ -522,16 +527,16 @@
 }
 
 // Covers windows with refused requests, from 2 seconds after the endpoint first stated the limit.
-void Play::settleUse(LimitOutcome& outcome) const
+void LimitSimulation::evaluateUse(LimitOutcome& outcome) const
 {
     double taken = 0;
     double possible = 0;
-    for (auto from = limitFrom + Milliseconds { 2000 }; from + window <= playLength; from += window) {
+    for (auto from = limitStartsAt + Milliseconds { 2000 }; from + window <= simulatedTime; from += window) {
         const auto isWithin = [&](const Arrival& arrival) { return arrival.at >= from && arrival.at < from + window; };
         if (std::none_of(m_refusals.begin(), m_refusals.end(), isWithin))
             continue;
         taken += static_cast<double>(std::count_if(m_arrivals.begin(), m_arrivals.end(),
-            [&isWithin](const Arrival& arrival) { return arrival.isTold && isWithin(arrival); }));
+            [&isWithin](const Arrival& arrival) { return arrival.knowsLimit && isWithin(arrival); }));
         possible += (allowed(from, from + window) - limitSlack) / limitFactor;
     }
     outcome.use = possible > 0 ? taken / possible : 1;
@@ -539,6 +544,6 @@
 
 } // namespace
 
-LimitOutcome playLimit(const LimitPlay& play) { return Play(play).run(); }
+LimitOutcome playLimit(const LimitPlay& scenario) { return LimitSimulation(scenario).run(); }
 
 } // namespace lupinknot::internal
--- a/src/model/RetryModel.cpp
+++ b/src/model/RetryModel.cpp
@@ -48,25 +48,25 @@
 
 class Fleet {
 public:
-    explicit Fleet(const RetryPlay& play)
-        : m_play(play)
-        , m_random(static_cast<std::mt19937::result_type>(play.seed))
+    explicit Fleet(const RetryPlay& scenario)
+        : m_scenario(scenario)
+        , m_random(static_cast<std::mt19937::result_type>(scenario.seed))
     {
-        for (int i = 0; i < play.vmCount; ++i) {
+        for (int i = 0; i < scenario.vmCount; ++i) {
             m_vms.emplace_back(i, now());
-            m_vms.back().settings.retrySlackShare = 1.0 / play.vmCount;
+            m_vms.back().settings.retrySlackShare = 1.0 / scenario.vmCount;
         }
     }
 
     void run()
     {
-        for (m_tick = 0; m_tick < m_play.seconds * ticksInSecond; ++m_tick) {
+        for (m_tick = 0; m_tick < m_scenario.seconds * ticksInSecond; ++m_tick) {
             m_requests.push_back(0);
             m_retries.push_back(0);
             const int second = m_tick / ticksInSecond;
             if (m_tick % ticksInSecond == 0)
-                strike(second);
-            takeRequests(second);
+                injectFaults(second);
+            processRequests(second);
             for (auto& vm : m_vms) {
                 vm.runs.erase(std::remove_if(vm.runs.begin(), vm.runs.end(),
                                   [this](const SimulatedVm::Run& run) { return run.endsAt <= m_tick; }),
@@ -97,7 +97,10 @@
 private:
     Milliseconds now() const { return Milliseconds { 100000 } + m_tick * tick; }
     double chance() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
-    bool isSilent(int second) const { return second >= m_play.silentFromSecond && second < m_play.silentToSecond; }
+    bool isStoreUnresponsive(int second) const
+    {
+        return second >= m_scenario.silentFromSecond && second < m_scenario.silentToSecond;
+    }
     static int zoneOf(std::size_t vm) { return static_cast<int>(vm % zoneCount); }
 
     static int sum(const std::vector<int>& counts, int from, int to)
@@ -108,13 +111,13 @@
         return total;
     }
 
-    void takeRequests(int second)
+    void processRequests(int second)
     {
-        const double factor = second % 10 < 3 ? m_play.surge : 1;
-        std::poisson_distribution<int> arrivals(m_play.requestsPerSecond * factor / ticksInSecond);
+        const double factor = second % 10 < 3 ? m_scenario.surge : 1;
+        std::poisson_distribution<int> arrivals(m_scenario.requestsPerSecond * factor / ticksInSecond);
         for (int i = arrivals(m_random); i > 0; --i) {
             auto vm = std::uniform_int_distribution<std::size_t>(0, m_vms.size() - 1)(m_random);
-            while (second >= m_play.zoneLeftAtSecond && zoneOf(vm) == 0)
+            while (second >= m_scenario.zoneLeftAtSecond && zoneOf(vm) == 0)
                 vm = std::uniform_int_distribution<std::size_t>(0, m_vms.size() - 1)(m_random);
             m_vms[vm].budget->noteRequest(now());
             ++m_requests.back();
@@ -125,12 +128,13 @@
     // Starts a run on an engine, after as many rejections and retries as chance and the budget give.
     void send(SimulatedVm& vm, Milliseconds requestedAt, int second)
     {
-        const auto away = isSilent(second) ? m_play.turnedAwayWhileSilent : m_play.turnedAwayShare;
-        while (chance() < away) {
+        const auto rejectionChance
+            = isStoreUnresponsive(second) ? m_scenario.turnedAwayWhileSilent : m_scenario.turnedAwayShare;
+        while (chance() < rejectionChance) {
             if (!retry(vm, RetryPurpose::Rescue, requestedAt))
                 return;
         }
-        const auto length = static_cast<int>(m_play.runSeconds * ticksInSecond * (0.5 + chance()));
+        const auto length = static_cast<int>(m_scenario.runSeconds * ticksInSecond * (0.5 + chance()));
         vm.runs.push_back(
             { requestedAt, m_tick + length, std::uniform_int_distribution<int>(0, zoneCount - 1)(m_random) });
     }
@@ -145,39 +149,39 @@
         return true;
     }
 
-    void strike(int second)
+    void injectFaults(int second)
     {
-        if (m_play.restartShare > 0 && second % m_play.restartEverySeconds == 0) {
+        if (m_scenario.restartShare > 0 && second % m_scenario.restartEverySeconds == 0) {
             for (auto& vm : m_vms) {
-                if (chance() < m_play.restartShare)
+                if (chance() < m_scenario.restartShare)
                     vm.start(now());
             }
         }
-        if (second % m_play.lossEverySeconds != 0)
+        if (second % m_scenario.lossEverySeconds != 0)
             return;
-        const int zone = second / m_play.lossEverySeconds % zoneCount;
+        const int zone = second / m_scenario.lossEverySeconds % zoneCount;
         for (auto& vm : m_vms)
-            loseZone(vm, zone, second);
+            failZone(vm, zone, second);
     }
 
-    void loseZone(SimulatedVm& vm, int zone, int second)
+    void failZone(SimulatedVm& vm, int zone, int second)
     {
         std::vector<SimulatedVm::Run> kept;
         std::vector<SimulatedVm::Run> lost;
         for (const auto& run : vm.runs)
-            (run.zone == zone && chance() < m_play.lossShare ? lost : kept).push_back(run);
+            (run.zone == zone && chance() < m_scenario.lossShare ? lost : kept).push_back(run);
         vm.runs = std::move(kept);
         for (const auto& run : lost) {
             if (retry(vm, RetryPurpose::Rescue, run.requestedAt))
                 send(vm, run.requestedAt, second);
         }
         for (const auto& run : vm.runs) {
-            if (chance() < m_play.movedShare)
+            if (chance() < m_scenario.movedShare)
                 retry(vm, RetryPurpose::Precaution, run.requestedAt);
         }
     }
 
-    const RetryPlay m_play;
+    const RetryPlay m_scenario;
     std::mt19937 m_random;
     std::deque<SimulatedVm> m_vms;
     std::vector<int> m_requests;
@@ -188,9 +192,9 @@
 
 } // namespace
 
-RetryOutcome playRetries(const RetryPlay& play)
+RetryOutcome playRetries(const RetryPlay& scenario)
 {
-    Fleet fleet(play);
+    Fleet fleet(scenario);
     fleet.run();
     return { fleet.greatestExcess(), fleet.retries(), fleet.denied() };
 }
@@ -200,19 +204,19 @@
     const auto between
         = [this](double least, double most) { return std::uniform_real_distribution<double>(least, most)(m_random); };
     const auto seed = ++m_seed;
-    RetryPlay play { .seed = seed };
-    play.vmCount = static_cast<int>(between(6, 340));
-    play.requestsPerSecond = between(5, 300);
-    play.runSeconds = between(2, 12);
-    play.lossEverySeconds = static_cast<int>(between(2, 9));
-    play.turnedAwayShare = between(0, 0.6);
-    play.turnedAwayWhileSilent = between(0.2, 0.9);
-    play.movedShare = between(0, 1);
-    play.restartShare = seed % 2 ? between(0, 1) : 0;
-    play.restartEverySeconds = static_cast<int>(between(3, 12));
-    play.zoneLeftAtSecond = seed % 3 ? 1000 : 25;
-    play.surge = seed % 4 ? 1 : 3;
-    return play;
+    RetryPlay scenario { .seed = seed };
+    scenario.vmCount = static_cast<int>(between(6, 340));
+    scenario.requestsPerSecond = between(5, 300);
+    scenario.runSeconds = between(2, 12);
+    scenario.lossEverySeconds = static_cast<int>(between(2, 9));
+    scenario.turnedAwayShare = between(0, 0.6);
+    scenario.turnedAwayWhileSilent = between(0.2, 0.9);
+    scenario.movedShare = between(0, 1);
+    scenario.restartShare = seed % 2 ? between(0, 1) : 0;
+    scenario.restartEverySeconds = static_cast<int>(between(3, 12));
+    scenario.zoneLeftAtSecond = seed % 3 ? 1000 : 25;
+    scenario.surge = seed % 4 ? 1 : 3;
+    return scenario;
 }
 
 } // namespace lupinknot::internal
--- a/src/model/RolloutModel.cpp
+++ b/src/model/RolloutModel.cpp
@@ -13,21 +13,21 @@
 
 constexpr Milliseconds step { 100 };
 // Each VM sends its evidence to the aggregators once in so many steps.
-constexpr int stepsBetweenAccounts = 3;
-constexpr int gathererCount = 3;
+constexpr int stepsBetweenReports = 3;
+constexpr int aggregatorCount = 3;
 // Time from a request to its response.
-constexpr int stepsOfAnswer = 2;
-constexpr int stepsOfSlowAnswer = 8;
+constexpr int responseSteps = 2;
+constexpr int slowResponseSteps = 8;
 // The values that deployments use.
 const ExposureLimit limit;
-constexpr Milliseconds rollBackBound { 5000 };
+constexpr Milliseconds rollbackTimeLimit { 5000 };
 constexpr int badAnswersBeforeBound = 50;
-constexpr Milliseconds contactTime { 4000 };
+constexpr Milliseconds recoveryTime { 4000 };
 // The fleet runs for a while before the rollout is ordered.
 constexpr Milliseconds orderAt { 5000 };
-constexpr Milliseconds playedBeyondDuration { 6000 };
+constexpr Milliseconds timeAfterDuration { 6000 };
 
-struct PendingAnswer {
+struct PendingResponse {
     int atStep;
     std::size_t vm;
     std::string route;
@@ -41,89 +41,89 @@
     std::unique_ptr<Rollout> rollout;
     std::unique_ptr<RolloutGatherer> gatherer;
     // Killed or paused: the VM neither serves nor communicates before this step.
-    int awayUntil { 0 };
+    int unavailableUntil { 0 };
     // Disconnected: the VM serves, but reaches neither other VMs nor the store before this step.
-    int cutUntil { 0 };
+    int disconnectedUntil { 0 };
     bool hasBeenKilled { false };
     // End of the latest fault.
-    Milliseconds calmSince { 0 };
+    Milliseconds lastFaultEndsAt { 0 };
 };
 
 class RolloutFleet {
 public:
-    explicit RolloutFleet(const RolloutPlay& play)
-        : m_play(play)
-        , m_random(play.seed)
-        , m_order { "s", "v2", play.duration, 1 }
-        , m_vms(static_cast<std::size_t>(play.vmCount))
+    explicit RolloutFleet(const RolloutPlay& scenario)
+        : m_scenario(scenario)
+        , m_random(scenario.seed)
+        , m_order { "s", "v2", scenario.duration, 1 }
+        , m_vms(static_cast<std::size_t>(scenario.vmCount))
     {
         for (std::size_t i = 0; i < m_vms.size(); ++i)
             m_vms[i].name = "vm-" + std::to_string(i);
-        const auto whole = static_cast<int>(m_play.duration / step);
-        if (m_play.hasTrouble && chance(0.4)) {
-            m_storeAwayFrom = m_orderStep + pick(whole);
-            m_storeAwayUntil = m_storeAwayFrom + pick(60);
+        const auto whole = static_cast<int>(m_scenario.duration / step);
+        if (m_scenario.hasTrouble && chance(0.4)) {
+            m_storeUnreachableFrom = m_orderStep + randomBelow(whole);
+            m_storeUnreachableUntil = m_storeUnreachableFrom + randomBelow(60);
         }
-        m_lossShare = m_play.hasTrouble ? 0.1 * unit() : 0;
+        m_callLossShare = m_scenario.hasTrouble ? 0.1 * randomUnit() : 0;
     }
 
     RolloutOutcome run()
     {
-        const auto end = static_cast<int>((orderAt + m_play.duration + playedBeyondDuration) / step);
+        const auto end = static_cast<int>((orderAt + m_scenario.duration + timeAfterDuration) / step);
         for (m_step = 0; m_step < end && m_outcome.violation.empty(); ++m_step) {
-            strike();
-            hearOrder();
-            takeAnswers();
-            takeRequests();
-            tellGatherers();
+            injectFaults();
+            deliverOrder();
+            processResponses();
+            processRequests();
+            reportToAggregators();
             writeDecision();
             readDecision();
         }
-        check();
+        checkRules();
         return m_outcome;
     }
 
 private:
     Milliseconds now() const { return m_step * step; }
-    double unit() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
-    bool chance(double share) { return unit() < share; }
-    int pick(int below) { return std::uniform_int_distribution<int>(0, std::max(below - 1, 0))(m_random); }
-    bool isDeaf(std::size_t vm) const { return m_play.planted == PlantedFault::LateVmGoesOn && vm % 2 == 1; }
-    bool isStoreAway() const { return m_step >= m_storeAwayFrom && m_step < m_storeAwayUntil; }
-    bool isAway(const ModelVm& vm) const { return m_step < vm.awayUntil; }
-    bool isCut(const ModelVm& vm) const { return m_step < vm.cutUntil; }
-    bool isInTouch(const ModelVm& vm) const { return now() - vm.calmSince >= contactTime; }
+    double randomUnit() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
+    bool chance(double share) { return randomUnit() < share; }
+    int randomBelow(int below) { return std::uniform_int_distribution<int>(0, std::max(below - 1, 0))(m_random); }
+    bool isIsolated(std::size_t vm) const { return m_scenario.planted == PlantedFault::LateVmGoesOn && vm % 2 == 1; }
+    bool isStoreUnreachable() const { return m_step >= m_storeUnreachableFrom && m_step < m_storeUnreachableUntil; }
+    bool isUnavailable(const ModelVm& vm) const { return m_step < vm.unavailableUntil; }
+    bool isDisconnected(const ModelVm& vm) const { return m_step < vm.disconnectedUntil; }
+    bool isConnected(const ModelVm& vm) const { return now() - vm.lastFaultEndsAt >= recoveryTime; }
 
-    void strike()
+    void injectFaults()
     {
-        if (!m_play.hasTrouble)
+        if (!m_scenario.hasTrouble)
             return;
         for (auto& vm : m_vms) {
             // Hits a few percent of the VMs within the order's duration, aggregators as often as other VMs.
             if (!chance(0.0005))
                 continue;
-            const auto until = m_step + 5 + pick(40);
-            switch (pick(3)) {
+            const auto until = m_step + 5 + randomBelow(40);
+            switch (randomBelow(3)) {
             case 0:
                 kill(vm, until);
                 break;
             case 1:
-                vm.awayUntil = until;
+                vm.unavailableUntil = until;
                 break;
             default:
-                vm.cutUntil = until;
+                vm.disconnectedUntil = until;
             }
-            vm.calmSince = until * step;
+            vm.lastFaultEndsAt = until * step;
         }
         // Additionally kills aggregators while they work.
         if (chance(0.005))
-            kill(m_vms[static_cast<std::size_t>(pick(gathererCount))], m_step + 5 + pick(30));
+            kill(m_vms[static_cast<std::size_t>(randomBelow(aggregatorCount))], m_step + 5 + randomBelow(30));
     }
 
     static void kill(ModelVm& vm, int until)
     {
-        vm.awayUntil = until;
-        vm.calmSince = until * step;
+        vm.unavailableUntil = until;
+        vm.lastFaultEndsAt = until * step;
         vm.rollout.reset();
         vm.gatherer.reset();
         ++vm.incarnation;
@@ -131,41 +131,42 @@
     }
 
     // VMs learn of the order within a few steps, unless the VM or the store is unreachable.
-    void hearOrder()
+    void deliverOrder()
     {
         if (m_step < m_orderStep)
             return;
         for (std::size_t i = 0; i < m_vms.size(); ++i) {
             auto& vm = m_vms[i];
-            if (vm.rollout || isAway(vm) || isCut(vm) || (isStoreAway() && m_step > m_storeAwayFrom) || !chance(0.8))
+            if (vm.rollout || isUnavailable(vm) || isDisconnected(vm)
+                || (isStoreUnreachable() && m_step > m_storeUnreachableFrom) || !chance(0.8))
                 continue;
-            const bool isUndivided = m_play.planted == PlantedFault::UndividedBudget;
-            const auto share = vm.hasBeenKilled ? 0.0 : isUndivided ? 1.0 : 1.0 / m_play.vmCount;
+            const bool isUndivided = m_scenario.planted == PlantedFault::UndividedBudget;
+            const auto share = vm.hasBeenKilled ? 0.0 : isUndivided ? 1.0 : 1.0 / m_scenario.vmCount;
             vm.rollout = std::make_unique<Rollout>(m_order, RolloutTerms { limit, share, vm.name });
-            if (i < gathererCount)
+            if (i < aggregatorCount)
                 vm.gatherer = std::make_unique<RolloutGatherer>(m_order, now());
         }
     }
 
-    double loadAt() const { return 1 + 0.5 * ((m_step / 20) % 2 ? 1 : -1); }
+    double loadFactor() const { return 1 + 0.5 * ((m_step / 20) % 2 ? 1 : -1); }
 
-    void takeRequests()
+    void processRequests()
     {
-        std::poisson_distribution<int> arrivals(m_play.requestsPerSecond * loadAt() / 10);
+        std::poisson_distribution<int> arrivals(m_scenario.requestsPerSecond * loadFactor() / 10);
         for (int i = arrivals(m_random); i > 0; --i) {
-            const auto index = static_cast<std::size_t>(pick(m_play.vmCount));
+            const auto index = static_cast<std::size_t>(randomBelow(m_scenario.vmCount));
             auto& vm = m_vms[index];
-            if (isAway(vm))
+            if (isUnavailable(vm))
                 continue;
-            if (m_step >= m_orderStep && now() < orderAt + m_play.duration)
+            if (m_step >= m_orderStep && now() < orderAt + m_scenario.duration)
                 ++m_requests;
-            const auto route = "r" + std::to_string(pick(m_play.routeCount));
+            const auto route = "r" + std::to_string(randomBelow(m_scenario.routeCount));
             if (!vm.rollout) {
                 // The VM does not know the versions before its list of runners arrives, which comes with the order.
                 continue;
             }
             vm.rollout->noteRequest();
-            if (isDeaf(index))
+            if (isIsolated(index))
                 vm.rollout->hear(GathererWord::Try, now());
             const auto choice = vm.rollout->choose(now());
             const bool isCandidate = choice.rule == VersionChoice::Rule::Only;
@@ -177,33 +178,34 @@
     {
         const auto& vm = m_vms[index];
         const bool isCandidate = version == RunnerVersion::Candidate;
-        if (isCandidate && isInTouch(vm) && m_step >= m_orderStep) {
+        if (isCandidate && isConnected(vm) && m_step >= m_orderStep) {
             m_lastSent = now();
-            if (now() < orderAt + m_play.duration)
+            if (now() < orderAt + m_scenario.duration)
                 ++m_outcome.exposed;
-            if (m_decision == RolloutDecision::RolledBack && now() - m_decidedAt > rollBackBound)
+            if (m_decision == RolloutDecision::RolledBack && now() - m_decidedAt > rollbackTimeLimit)
                 violate("a request went to the candidate too long after its rollback");
         }
-        const bool isBad = chance(isCandidate ? candidatesBadShare(route) : m_play.usualBadShare);
-        const bool isSlow = isBad && m_play.fault == VersionFault::Slow;
-        const auto answerAt = m_step + (isSlow ? stepsOfSlowAnswer : stepsOfAnswer);
+        const bool isBad = chance(isCandidate ? candidateBadShare(route) : m_scenario.usualBadShare);
+        const bool isSlow = isBad && m_scenario.fault == VersionFault::Slow;
+        const auto answerAt = m_step + (isSlow ? slowResponseSteps : responseSteps);
         m_pending.push_back({ answerAt, index, route, version, isBad ? AnswerQuality::Bad : AnswerQuality::Good });
     }
 
-    double candidatesBadShare(const std::string& route) const
+    double candidateBadShare(const std::string& route) const
     {
-        const auto& play = m_play;
-        const bool isLate = now() - orderAt >= Milliseconds { static_cast<std::int64_t>(1000 * play.failsFromSecond) };
-        const bool isWrong = play.fault == VersionFault::Fails || play.fault == VersionFault::Slow
-            || (play.fault == VersionFault::FailsLate && isLate)
-            || (play.fault == VersionFault::FailsUnderLoad && loadAt() > 1)
-            || (play.fault == VersionFault::FailsOnOneRoute && route == "r0");
-        return isWrong ? std::max(play.badShare, play.usualBadShare) : play.usualBadShare;
+        const auto& scenario = m_scenario;
+        const bool isLate
+            = now() - orderAt >= Milliseconds { static_cast<std::int64_t>(1000 * scenario.failsFromSecond) };
+        const bool hasDefect = scenario.fault == VersionFault::Fails || scenario.fault == VersionFault::Slow
+            || (scenario.fault == VersionFault::FailsLate && isLate)
+            || (scenario.fault == VersionFault::FailsUnderLoad && loadFactor() > 1)
+            || (scenario.fault == VersionFault::FailsOnOneRoute && route == "r0");
+        return hasDefect ? std::max(scenario.badShare, scenario.usualBadShare) : scenario.usualBadShare;
     }
 
-    void takeAnswers()
+    void processResponses()
     {
-        std::vector<PendingAnswer> rest;
+        std::vector<PendingResponse> rest;
         for (const auto& answer : m_pending) {
             if (answer.atStep > m_step) {
                 rest.push_back(answer);
@@ -218,16 +220,18 @@
         m_pending = std::move(rest);
     }
 
-    void tellGatherers()
+    void reportToAggregators()
     {
         for (std::size_t i = 0; i < m_vms.size(); ++i) {
             auto& vm = m_vms[i];
-            if (!vm.rollout || isAway(vm) || isDeaf(i) || (m_step + static_cast<int>(i)) % stepsBetweenAccounts != 0)
+            if (!vm.rollout || isUnavailable(vm) || isIsolated(i)
+                || (m_step + static_cast<int>(i)) % stepsBetweenReports != 0)
                 continue;
-            for (std::size_t g = 0; g < gathererCount; ++g) {
+            for (std::size_t g = 0; g < aggregatorCount; ++g) {
                 auto& gatherer = m_vms[g];
-                const bool isReached = g == i || (!isCut(vm) && !isCut(gatherer) && !chance(m_lossShare));
-                if (!gatherer.gatherer || isAway(gatherer) || !isReached)
+                const bool isReached
+                    = g == i || (!isDisconnected(vm) && !isDisconnected(gatherer) && !chance(m_callLossShare));
+                if (!gatherer.gatherer || isUnavailable(gatherer) || !isReached)
                     continue;
                 const auto process = vm.name + "/" + std::to_string(vm.incarnation);
                 gatherer.gatherer->take(process, vm.rollout->evidence(), vm.rollout->isStopped());
@@ -238,14 +242,14 @@
 
     void writeDecision()
     {
-        for (std::size_t g = 0; g < gathererCount; ++g) {
+        for (std::size_t g = 0; g < aggregatorCount; ++g) {
             auto& vm = m_vms[g];
-            if (!vm.gatherer || isAway(vm) || isCut(vm) || isStoreAway())
+            if (!vm.gatherer || isUnavailable(vm) || isDisconnected(vm) || isStoreUnreachable())
                 continue;
             const auto wanted = vm.gatherer->wanted(now());
             if (!wanted || m_decision == *wanted)
                 continue;
-            if (m_decision != RolloutDecision::Undecided && m_play.planted != PlantedFault::DecisionTurns)
+            if (m_decision != RolloutDecision::Undecided && m_scenario.planted != PlantedFault::DecisionTurns)
                 continue;
             if (m_decision != RolloutDecision::Undecided)
                 violate("a recorded decision was overwritten by the opposite one");
@@ -256,11 +260,11 @@
 
     void readDecision()
     {
-        if (m_decision == RolloutDecision::Undecided || isStoreAway())
+        if (m_decision == RolloutDecision::Undecided || isStoreUnreachable())
             return;
         for (std::size_t i = 0; i < m_vms.size(); ++i) {
             auto& vm = m_vms[i];
-            if (vm.rollout && !isAway(vm) && !isCut(vm) && !isDeaf(i) && chance(0.8))
+            if (vm.rollout && !isUnavailable(vm) && !isDisconnected(vm) && !isIsolated(i) && chance(0.8))
                 vm.rollout->decide(m_decision, now());
         }
     }
@@ -271,14 +275,14 @@
             m_outcome.violation = rule;
     }
 
-    void check()
+    void checkRules()
     {
         auto& outcome = m_outcome;
         outcome.decision = m_decision;
         if (m_decision != RolloutDecision::Undecided)
             outcome.decidedAfter = m_decidedAt - orderAt;
         outcome.mostExposed = static_cast<int>(limit.share * m_requests + limit.slack);
-        if (!isBadVersion(m_play.fault))
+        if (!isBadVersion(m_scenario.fault))
             return;
         if (m_fiftyBadAt.count())
             outcome.lastSentAfterFiftyBad = std::max(m_lastSent - m_fiftyBadAt, Milliseconds { 0 });
@@ -286,20 +290,20 @@
             return; // Counted as a wrong decision instead: no limit applies once all requests go to it.
         if (outcome.exposed > outcome.mostExposed)
             violate("a bad version received more requests than the exposure limit allows");
-        if (outcome.lastSentAfterFiftyBad > rollBackBound)
+        if (outcome.lastSentAfterFiftyBad > rollbackTimeLimit)
             violate("a bad version received requests for too long after its 50th bad response");
     }
 
-    const RolloutPlay m_play;
+    const RolloutPlay m_scenario;
     std::mt19937 m_random;
     const RolloutOrder m_order;
     std::vector<ModelVm> m_vms;
     const int m_orderStep { static_cast<int>(orderAt / step) };
     int m_step { 0 };
-    int m_storeAwayFrom { 0 };
-    int m_storeAwayUntil { 0 };
-    double m_lossShare { 0 };
-    std::vector<PendingAnswer> m_pending;
+    int m_storeUnreachableFrom { 0 };
+    int m_storeUnreachableUntil { 0 };
+    double m_callLossShare { 0 };
+    std::vector<PendingResponse> m_pending;
     int m_requests { 0 };
     int m_badAnswers { 0 };
     Milliseconds m_fiftyBadAt { 0 };
@@ -313,6 +317,6 @@
 
 bool isBadVersion(VersionFault fault) { return fault != VersionFault::None && fault != VersionFault::FlakyBothSides; }
 
-RolloutOutcome playRollout(const RolloutPlay& play) { return RolloutFleet(play).run(); }
+RolloutOutcome playRollout(const RolloutPlay& scenario) { return RolloutFleet(scenario).run(); }
 
 } // namespace lupinknot::internal
--- a/test/LimitModelTest.cpp
+++ b/test/LimitModelTest.cpp
@@ -21,7 +21,7 @@
     static constexpr std::array<std::size_t, 4> vmCounts { 3, 7, 88, 300 };
     static constexpr std::array<double, 5> limits { 0.2, 1, 2.3, 20, 200 };
 
-    static LimitPlay playOf(std::uint64_t seed)
+    static LimitPlay scenarioOf(std::uint64_t seed)
     {
         return { .vmCount = vmCounts.at(seed % vmCounts.size()),
             .perSecond = limits.at(seed / vmCounts.size() % limits.size()),
@@ -29,31 +29,31 @@
             .seed = seed };
     }
 
-    static void checkKept(std::uint64_t seed)
+    static void checkLimitKept(std::uint64_t seed)
     {
-        const auto outcome = playLimit(playOf(seed));
+        const auto outcome = playLimit(scenarioOf(seed));
         CHECK_TEXT(outcome.worstExcess <= 0, ("seed " + std::to_string(seed)).c_str());
     }
 
     // The number of simulations in which the limit was exceeded.
-    static int brokenPlays(PlantedLimitFault planted, std::uint64_t count)
+    static int countViolations(PlantedLimitFault planted, std::uint64_t count)
     {
-        int broken = 0;
+        int violations = 0;
         for (std::uint64_t seed = 1; seed <= count; ++seed) {
-            auto play = playOf(seed);
-            play.planted = planted;
-            broken += playLimit(play).worstExcess > 0;
+            auto scenario = scenarioOf(seed);
+            scenario.planted = planted;
+            violations += playLimit(scenario).worstExcess > 0;
         }
-        return broken;
+        return violations;
     }
 };
 
 TEST(LimitModel, KeepsTheLimitUnderFaultsOnFleetsOfAllSizes)
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed)
-        checkKept(seed);
+        checkLimitKept(seed);
     for (const auto seed : { 454, 674, 995, 1270, 1390, 1431, 1511, 1539, 1582, 2478, 4215, 6799, 7479 })
-        checkKept(static_cast<std::uint64_t>(seed));
+        checkLimitKept(static_cast<std::uint64_t>(seed));
 }
 
 // VMs use at least nine tenths of the limit, whichever of them receive the requests.
@@ -72,5 +72,5 @@
 {
     for (const auto planted :
         { PlantedLimitFault::WholeSubstitutes, PlantedLimitFault::KeepsOldLimit, PlantedLimitFault::EachCounts })
-        CHECK_TEXT(brokenPlays(planted, 200) > 0, std::to_string(static_cast<int>(planted)).c_str());
+        CHECK_TEXT(countViolations(planted, 200) > 0, std::to_string(static_cast<int>(planted)).c_str());
 }
--- a/test/RolloutModelTest.cpp
+++ b/test/RolloutModelTest.cpp
@@ -9,28 +9,28 @@
 
 namespace {
 
-constexpr int playsOfEach = 8;
+constexpr int simulationsPerCase = 8;
 
 struct Tally {
     int right { 0 };
     int wrong { 0 };
-    int broken { 0 };
+    int violations { 0 };
     std::string violation;
 };
 
-Tally playAll(RolloutPlay play, int count, unsigned firstSeed = 1)
+Tally simulateAll(RolloutPlay scenario, int count, unsigned firstSeed = 1)
 {
     Tally tally;
     for (int i = 0; i < count; ++i) {
-        play.seed = firstSeed + static_cast<unsigned>(i);
-        const auto outcome = playRollout(play);
-        const bool isBad = isBadVersion(play.fault);
+        scenario.seed = firstSeed + static_cast<unsigned>(i);
+        const auto outcome = playRollout(scenario);
+        const bool isBad = isBadVersion(scenario.fault);
         const auto right = isBad ? RolloutDecision::RolledBack : RolloutDecision::Completed;
         tally.right += outcome.decision == right ? 1 : 0;
         tally.wrong += outcome.decision != right ? 1 : 0;
         if (!outcome.violation.empty()) {
-            ++tally.broken;
-            tally.violation = outcome.violation + ", seed " + std::to_string(play.seed);
+            ++tally.violations;
+            tally.violation = outcome.violation + ", seed " + std::to_string(scenario.seed);
         }
     }
     return tally;
@@ -44,8 +44,8 @@
 {
     for (const auto& fault : versionFaultNames) {
         for (const double rate : { 10.0, 46.0, 160.0 }) {
-            const auto tally = playAll({ .requestsPerSecond = rate, .fault = fault.value }, playsOfEach);
-            LONGS_EQUAL_TEXT(0, tally.broken, (std::string(fault.name) + ": " + tally.violation).c_str());
+            const auto tally = simulateAll({ .requestsPerSecond = rate, .fault = fault.value }, simulationsPerCase);
+            LONGS_EQUAL_TEXT(0, tally.violations, (std::string(fault.name) + ": " + tally.violation).c_str());
         }
     }
 }
@@ -53,53 +53,54 @@
 TEST(RolloutModel, KeepsTheRulesOnFleetsOfAnySize)
 {
     for (const int vmCount : { 6, 30, 340 }) {
-        const auto tally
-            = playAll({ .vmCount = vmCount, .requestsPerSecond = 46, .fault = VersionFault::FailsLate }, playsOfEach);
-        LONGS_EQUAL_TEXT(0, tally.broken, tally.violation.c_str());
+        const auto tally = simulateAll(
+            { .vmCount = vmCount, .requestsPerSecond = 46, .fault = VersionFault::FailsLate }, simulationsPerCase);
+        LONGS_EQUAL_TEXT(0, tally.violations, tally.violation.c_str());
     }
 }
 
 TEST(RolloutModel, CompletesGoodCandidates)
 {
-    LONGS_EQUAL(playsOfEach, playAll({ .requestsPerSecond = 100 }, playsOfEach, 301).right);
+    LONGS_EQUAL(simulationsPerCase, simulateAll({ .requestsPerSecond = 100 }, simulationsPerCase, 301).right);
 }
 
 TEST(RolloutModel, RollsBackBadCandidates)
 {
     for (const auto fault : { VersionFault::Fails, VersionFault::FailsOnOneRoute, VersionFault::Slow }) {
-        const auto tally = playAll({ .requestsPerSecond = 100, .fault = fault }, playsOfEach, 401);
+        const auto tally = simulateAll({ .requestsPerSecond = 100, .fault = fault }, simulationsPerCase, 401);
         LONGS_EQUAL_TEXT(0, tally.wrong, std::string(nameIn(versionFaultNames, fault)).c_str());
     }
 }
 
 TEST(RolloutModel, DetectsAnUndividedExposureBudget)
 {
-    const auto tally = playAll({ .requestsPerSecond = 46,
-                                   .fault = VersionFault::FailsLate,
-                                   .failsFromSecond = 8,
-                                   .planted = PlantedFault::UndividedBudget },
-        playsOfEach);
+    const auto tally = simulateAll({ .requestsPerSecond = 46,
+                                       .fault = VersionFault::FailsLate,
+                                       .failsFromSecond = 8,
+                                       .planted = PlantedFault::UndividedBudget },
+        simulationsPerCase);
     CHECK_TEXT(
-        tally.broken > 0, "no simulation detected that each VM spends the whole fixed part of the exposure limit");
+        tally.violations > 0, "no simulation detected that each VM spends the whole fixed part of the exposure limit");
 }
 
 TEST(RolloutModel, DetectsAnIsolatedVmThatKeepsTrying)
 {
-    const auto tally = playAll({ .vmCount = 90,
-                                   .requestsPerSecond = 400,
-                                   .fault = VersionFault::Fails,
-                                   .badShare = 1,
-                                   .planted = PlantedFault::LateVmGoesOn },
+    const auto tally = simulateAll({ .vmCount = 90,
+                                       .requestsPerSecond = 400,
+                                       .fault = VersionFault::Fails,
+                                       .badShare = 1,
+                                       .planted = PlantedFault::LateVmGoesOn },
         40);
-    CHECK_TEXT(tally.broken > 0, "no simulation detected that isolated VMs keep trying the candidate");
+    CHECK_TEXT(tally.violations > 0, "no simulation detected that isolated VMs keep trying the candidate");
 }
 
 TEST(RolloutModel, DetectsAnOverwrittenDecision)
 {
-    const auto tally = playAll({ .requestsPerSecond = 100,
-                                   .fault = VersionFault::FailsLate,
-                                   .failsFromSecond = 10.5,
-                                   .planted = PlantedFault::DecisionTurns },
+    const auto tally = simulateAll({ .requestsPerSecond = 100,
+                                       .fault = VersionFault::FailsLate,
+                                       .failsFromSecond = 10.5,
+                                       .planted = PlantedFault::DecisionTurns },
         40);
-    CHECK_TEXT(tally.broken > 0, "no simulation detected that the later of two aggregators overwrites the decision");
+    CHECK_TEXT(
+        tally.violations > 0, "no simulation detected that the later of two aggregators overwrites the decision");
 }
