--- a/src/standin/EngineFaults.h
+++ b/src/standin/EngineFaults.h
@@ -1,6 +1,6 @@
-// Faults that a stand-in engine can be told to show.
+// Faults that can be injected into a stand-in engine.
 //
-// They are set by the program's switches and by `POST /control` with a JSON object; the keys are the names below.
+// The `--control` flag and `POST /control` set them from a JSON object; its keys stand beside the fields below.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -9,18 +9,18 @@
 
 namespace lupinknot::internal {
 
-// The faults `..._at` strike the next stream that reaches that number of tokens, once.
+// Each fault `..._at` occurs once, in the next stream that reaches that number of tokens.
 struct EngineFaults {
-    std::optional<std::size_t> crashAt; // crash_at: reset all connections, forget everything.
+    std::optional<std::size_t> crashAt; // crash_at: reset all connections and lose all state.
     std::optional<std::size_t> endEarlyAt; // end_early_at: end the stream without its final event.
-    std::optional<std::size_t> malformedAt; // malformed_at: send something that is not JSON.
-    std::optional<std::size_t> skipAt; // skip_at: leave out one token.
-    std::optional<std::size_t> pauseAt; // pause_at: stand still for the time of pause_ms.
+    std::optional<std::size_t> malformedAt; // malformed_at: send an event that is not JSON.
+    std::optional<std::size_t> skipAt; // skip_at: omit one token.
+    std::optional<std::size_t> pauseAt; // pause_at: freeze the engine for pause_ms.
     Milliseconds downTime { 1000 }; // down_ms: how long connections are refused after a crash.
-    Milliseconds pauseTime { 2000 }; // pause_ms
-    bool refusesWork { false }; // refuse: answer new work with 503.
-    bool failsWork { false }; // fail: answer new work with 500.
-    double slowFactor { 1 }; // slow: steps take that many times as long.
+    Milliseconds pauseTime { 2000 }; // pause_ms: how long a pause lasts.
+    bool refusesWork { false }; // refuse: respond to new requests with 503.
+    bool failsWork { false }; // fail: respond to new requests with 500.
+    double slowFactor { 1 }; // slow: factor on the duration of steps.
 };
 
 } // namespace lupinknot::internal
--- a/src/standin/EngineStandIn.cpp
+++ b/src/standin/EngineStandIn.cpp
@@ -59,7 +59,7 @@
 EngineStandIn::~EngineStandIn()
 {
     m_server.stop();
-    // Streams hold connections of the server's io_context, which goes before the members above it.
+    // Streams hold connections of the server's io_context, which is destroyed before the members declared above it.
     m_streams.clear();
     m_kept.clear();
 }
@@ -92,7 +92,7 @@
         dispatch(exchange);
         return;
     }
-    // A paused process answers nothing; the system holds what has been sent to it.
+    // A paused process does not respond; the operating system buffers the data sent to it.
     const auto timer = std::make_shared<boost::asio::steady_timer>(m_server.ioContext(), wait);
     timer->async_wait([this, exchange, timer](boost::system::error_code error) {
         if (!error)
@@ -229,7 +229,7 @@
 HttpResponse EngineStandIn::load() const
 {
     const std::lock_guard lock(m_mutex);
-    // The newest sample that is old enough.
+    // The newest sample that is at least as old as the load lag.
     const auto horizon = m_clock.now() - m_settings.loadLag;
     std::size_t active = 0;
     for (const auto& sample : m_loadSamples) {
@@ -279,7 +279,7 @@
     m_faults.refusesWork = body.value("refuse", m_faults.refusesWork);
     m_faults.failsWork = body.value("fail", m_faults.failsWork);
     m_faults.slowFactor = body.value("slow", m_faults.slowFactor);
-    // The process ends at once, as by a kill.
+    // Ends the process at once, as SIGKILL does.
     if (body.value("die", false))
         std::_Exit(exitKilled);
     if (body.value("crash", false))
@@ -342,7 +342,7 @@
     ++work.decodedTokens;
 }
 
-// Shows the faults that are due at the stream's number of tokens.
+// Injects the faults that are due at the stream's number of tokens.
 void EngineStandIn::strike(EngineStream& stream)
 {
     const auto isDue = [&stream](std::optional<std::size_t>& at) {
@@ -374,7 +374,7 @@
 
 void EngineStandIn::pause(Milliseconds time) { m_pausedUntil = m_clock.now() + time; }
 
-// The streams of one step: the most urgent first, as many as fit.
+// The streams of one step, most urgent first, up to the batch size.
 EngineStandIn::Streams EngineStandIn::batch() const
 {
     auto streams = m_streams;
--- a/src/standin/EngineStandIn.h
+++ b/src/standin/EngineStandIn.h
@@ -1,11 +1,11 @@
 // A stand-in for a model engine.
 //
-// It speaks the engines' published protocol: `POST /v1/completions` streams tokens and cancels the work when the
-// connection goes. Beside it stand `DELETE /v1/streams/ID` to cancel, `GET /v1/streams/ID?from=N` to re-attach,
-// `GET /load` for a report that lags, `GET /stats` for the work done, and `POST /control` for faults.
+// It implements the engines' published protocol: `POST /v1/completions` streams tokens and cancels the work when the
+// connection is lost. In addition, `DELETE /v1/streams/ID` cancels a stream, `GET /v1/streams/ID?from=N` re-attaches to
+// it, `GET /load` returns a delayed load report, `GET /stats` returns the work done, and `POST /control` sets faults.
 //
-// It batches continuously: each step makes one token for every stream in the batch. Prefills run one after the other,
-// and tokens in the prefix cache cost nothing.
+// It uses continuous batching: each step generates one token for every stream in the batch. Prefills run one after the
+// other, and tokens in the prefix cache need no prefill time.
 #pragma once
 
 #include "lupinknot/MonotonicClock.h"
@@ -23,7 +23,7 @@
 class HttpExchange;
 struct HttpResponse;
 
-// Thread-safe, under one lock.
+// Thread-safe; one lock protects all state.
 class EngineStandIn {
 public:
     explicit EngineStandIn(EngineStandInSettings);
@@ -33,7 +33,7 @@
 
     std::optional<std::string> start();
     unsigned short port() const { return m_server.port(); }
-    // Sets faults by the names of EngineFaults. Returns false when a name or value is unknown.
+    // Sets faults by their keys in EngineFaults. Returns false if the text is not a JSON object.
     bool control(const std::string& json);
 
     // Work done so far.
@@ -52,7 +52,7 @@
         std::size_t prefillTokens { 0 };
         std::size_t decodedTokens { 0 };
         Milliseconds admittedAt { 0 };
-        // From the request's arrival to its first token: wait, prefill, and the step that makes the token.
+        // From the request's arrival to its first token: queueing, prefill, and the step that generates the token.
         Milliseconds firstTokenTime { 0 };
     };
     struct LoadSample {
@@ -87,12 +87,12 @@
     const EngineStandInSettings m_settings;
     MonotonicClock m_clock;
     mutable std::mutex m_mutex;
-    // All that follows is under the lock.
+    // m_mutex protects the members below.
     EngineFaults m_faults;
     std::mt19937_64 m_random;
     PrefixCache m_cache;
     Streams m_streams;
-    // Completed or running streams that may be re-attached to.
+    // Completed or running streams that callers may re-attach to.
     std::map<std::string, std::shared_ptr<EngineStream>> m_kept;
     std::map<std::string, RequestWork> m_requestWork;
     std::deque<LoadSample> m_loadSamples;
--- a/src/standin/EngineStandInSettings.h
+++ b/src/standin/EngineStandInSettings.h
@@ -1,4 +1,4 @@
-// How a stand-in engine behaves when nothing is wrong with it.
+// Settings of a stand-in engine that has no injected faults.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -13,17 +13,17 @@
     std::string model { "story" };
     // Time between two tokens of a stream, before noise.
     Milliseconds step { 20 };
-    // Largest part of a step by which noise makes it longer or shorter.
+    // Largest share of the step time by which noise lengthens or shortens a step.
     double jitter { 0.3 };
-    // Chance of a step that is held up, and how long that lasts at most.
+    // Probability that a step stalls, and the longest stall.
     double stallChance { 0.004 };
     Milliseconds longestStall { 250 };
-    // Microseconds of prefill for a token that is not in the prefix cache. Prefills run one after the other.
+    // Prefill time in microseconds of a token that is not in the prefix cache. Prefills run one after the other.
     std::int64_t prefillMicroseconds { 50 };
     std::int64_t maxBatch { 64 };
     std::int64_t maxQueue { 256 };
     std::int64_t cacheTokens { 200000 };
-    // How old a load report is.
+    // Age of the load samples that a load report uses.
     Milliseconds loadLag { 500 };
     std::uint64_t seed { 1 };
 };
--- a/src/standin/EngineStream.cpp
+++ b/src/standin/EngineStream.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-// Sends one reader what it has not had yet.
+// Sends the events that one reader has not received yet.
 class EngineStream::Reader final : public HttpBodySource {
 public:
     Reader(std::shared_ptr<EngineStream> stream, std::size_t position)
--- a/src/standin/EngineStream.h
+++ b/src/standin/EngineStream.h
@@ -1,4 +1,4 @@
-// One stream that a stand-in engine runs.
+// One token stream that a stand-in engine generates.
 #pragma once
 
 #include "http/HttpBodySource.h"
@@ -13,37 +13,37 @@
 
 class HttpExchange;
 
-// What a request asks of the engine.
+// A parsed request to the engine.
 struct EngineStreamRequest {
     std::string id;
     std::string model;
     std::vector<TokenId> promptIds;
     std::size_t maxTokens { 16 };
     std::int64_t priority { 0 };
-    // How long the stream runs on without a connection; zero cancels it with its connection.
+    // How long the stream continues without a connection; 0 cancels it when its connection is lost.
     Milliseconds keepOnDisconnect { 0 };
 };
 
-// Thread-safe, under one lock of its own. It keeps its tokens, so that a reader may attach at any position.
+// Thread-safe; each stream has its own lock. A stream keeps its tokens, so that a reader may attach at any position.
 class EngineStream : public std::enable_shared_from_this<EngineStream> {
 public:
     EngineStream(EngineStreamRequest, Milliseconds readyAt);
 
     const EngineStreamRequest& request() const { return m_request; }
-    // When the prefill is done.
+    // The time at which the prefill is complete.
     Milliseconds readyAt() const { return m_readyAt; }
 
-    // Sends the tokens from a position on to an exchange; a reader before it gets no more.
+    // Sends the tokens from a position on to an exchange, which replaces the previous reader.
     void attach(const std::shared_ptr<HttpExchange>&, std::size_t position);
-    // Notes that an exchange is gone. Returns false when another one has taken its place.
+    // Records that an exchange was closed. Returns false if another exchange has replaced it.
     bool detach(const HttpExchange&);
     bool isAttached() const;
 
-    // Makes the next token, and at the last one the end.
+    // Generates the next token, and ends the stream after the last one.
     void step();
-    // Makes a fault's bytes the next thing sent, and ends the stream behind them.
+    // Sends the bytes of an injected fault next and ends the stream after them.
     void breakOff(const std::string& bytes);
-    // Leaves out one token of what is sent.
+    // Omits the next token from the output.
     void skipOne();
     std::size_t producedCount() const;
     bool isComplete() const;
--- a/src/standin/PlatformStandIn.h
+++ b/src/standin/PlatformStandIn.h
@@ -1,9 +1,9 @@
-// A stand-in for the platform: the list of endpoints, which lags, and the transactional table service.
+// A stand-in for the platform: the endpoint list, which is delayed, and the transactional table service.
 //
-// `GET /v1/endpoints` answers with the list as it was set a while ago. `GET /v1/table/KEY` answers with a row and its
-// revision in `ETag`; `PUT /v1/table/KEY` writes it if `If-Match` names the present revision (0 for no row), else
-// answers 412. `POST /control` sets the list and faults: {"endpoints": [{"name", "state"}], "lag_ms": N,
-// "outage_ms": N, "delay_ms": N, "lose_answers": N}. An answer that is lost is that of a write that took effect.
+// `GET /v1/endpoints` returns the list with the delay lag_ms. `GET /v1/table/KEY` returns a row and its revision in
+// `ETag`; `PUT /v1/table/KEY` writes the row if `If-Match` states the current revision (0 for no row), else it responds
+// with 412. `POST /control` sets the list and faults: {"endpoints": [{"name", "state"}], "lag_ms": N, "outage_ms": N,
+// "delay_ms": N, "lose_answers": N}. lose_answers drops responses to writes that took effect.
 #pragma once
 
 #include "lupinknot/MonotonicClock.h"
@@ -17,7 +17,7 @@
 class HttpExchange;
 struct HttpResponse;
 
-// Thread-safe, under one lock.
+// Thread-safe; one lock protects all state.
 class PlatformStandIn {
 public:
     PlatformStandIn(std::string address, std::int64_t port);
@@ -44,7 +44,7 @@
 
     MonotonicClock m_clock;
     mutable std::mutex m_mutex;
-    // All that follows is under the lock.
+    // m_mutex protects the members below.
     std::string m_list { R"({"endpoints":[]})" };
     std::string m_nextList;
     Milliseconds m_nextListFrom { Milliseconds::max() };
--- a/src/standin/PrefixCache.h
+++ b/src/standin/PrefixCache.h
@@ -1,4 +1,4 @@
-// The stand-in engine's prefix cache: blocks of tokens, the least recently used dropped first.
+// The stand-in engine's prefix cache: blocks of tokens with least-recently-used eviction.
 #pragma once
 
 #include "lupinknot/Token.h"
@@ -18,7 +18,7 @@
     {
     }
 
-    // Counts the tokens of the longest cached prefix, and caches all whole blocks of the sequence.
+    // Returns the number of tokens in the longest cached prefix, and caches all complete blocks of the sequence.
     std::size_t reuse(const std::vector<TokenId>&);
     void clear();
 
@@ -26,7 +26,7 @@
     void touch(std::uint64_t block);
 
     std::size_t m_capacity;
-    // Most recently used first. A block is named by the hash of everything up to its end.
+    // Most recently used first. The key of a block is the hash of all tokens up to its end.
     std::list<std::uint64_t> m_order;
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_blocks;
 };
--- a/src/standin/ServiceStandIn.h
+++ b/src/standin/ServiceStandIn.h
@@ -1,7 +1,7 @@
-// A stand-in for a plain service that runs each call it gets, and counts the runs.
+// A stand-in for a plain service that runs each call that it receives and counts the runs.
 //
-// It answers with what it got, as JSON. `GET /stats` tells how often each work id (header `X-Work-Id`) ran, and
-// `POST /control` sets faults: {"refuse": true}, {"lose_answers": N} (runs, then resets the connection),
+// It echoes the request as JSON. `GET /stats` returns how often each work id (header `X-Work-Id`) ran, and
+// `POST /control` sets faults: {"refuse": true}, {"lose_answers": N} (runs the call, then resets the connection),
 // {"delay_ms": N}, {"pause_ms": N}, {"crash": true, "down_ms": N}.
 #pragma once
 
@@ -16,7 +16,7 @@
 class HttpExchange;
 struct HttpResponse;
 
-// Thread-safe, under one lock.
+// Thread-safe; one lock protects all state.
 class ServiceStandIn {
 public:
     ServiceStandIn(std::string name, std::string address, std::int64_t port);
@@ -38,7 +38,7 @@
     const std::string m_name;
     MonotonicClock m_clock;
     mutable std::mutex m_mutex;
-    // All that follows is under the lock.
+    // m_mutex protects the members below.
     std::map<std::string, std::size_t> m_runs;
     std::size_t m_answersToLose { 0 };
     Milliseconds m_delay { 0 };
--- a/src/standin/StandInServer.h
+++ b/src/standin/StandInServer.h
@@ -1,4 +1,4 @@
-// What every stand-in shares: threads, a listener, and faults that the whole process suffers.
+// The common server of all stand-ins: threads, a listener, and faults that affect the whole process.
 #pragma once
 
 #include "http/HttpServer.h"
@@ -21,15 +21,14 @@
     StandInServer(const StandInServer&) = delete;
     StandInServer& operator=(const StandInServer&) = delete;
 
-    // Returns what went wrong, or nothing.
+    // Returns an error message on failure.
     std::optional<std::string> start();
-    // Stops the threads. Call it before what the handler uses is destroyed.
+    // Stops the threads. Call it before destroying objects that the handler uses.
     void stop();
     unsigned short port() const;
     boost::asio::io_context& ioContext() { return m_ioContext; }
 
-    // Looks from outside like the death of the process and its restart: connections are reset, and new ones refused
-    // for a time.
+    // Simulates a crash and restart of the process: resets all connections and refuses new ones for downTime.
     void crash(Milliseconds downTime);
 
 private:
--- a/src/standin/TokenSequence.cpp
+++ b/src/standin/TokenSequence.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::uint64_t initialState = 0x6c7570696e6b6e6f;
 constexpr std::uint64_t vocabularySize = 50000;
-// A double holds 53 bits of the state.
+// The mantissa of a double holds 53 of the 64 state bits.
 constexpr unsigned unusedBits = 11;
 constexpr double fullScale = 9007199254740992.0;
 constexpr std::array<std::string_view, 16> syllables { "ba", "de", "fi", "go", "hu", "ka", "le", "mi", "no", "pu", "ra",
@@ -30,7 +30,7 @@
 
 Token TokenSequence::next() const
 {
-    // Frequent tokens are short and few, as in language: the chance of an id falls as its rank (Zipf).
+    // Zipf's law, as in natural language: the probability of an id falls with its rank, and frequent tokens are short.
     const auto draw = static_cast<double>(m_state >> unusedBits) / fullScale;
     const auto id = static_cast<TokenId>(std::pow(static_cast<double>(vocabularySize), draw)) - 1;
     return { id, textOfToken(id) };
--- a/src/standin/TokenSequence.h
+++ b/src/standin/TokenSequence.h
@@ -1,7 +1,7 @@
-// The stand-in model: each token is a function of the prompt's ids and of all tokens before it.
+// The stand-in model: each token is a function of the prompt's token ids and of all tokens before it.
 //
-// Whoever knows the prompt can therefore compute the one right answer, and sees every token that is missing, repeated
-// or taken from another answer.
+// A caller that knows the prompt can therefore compute the only correct output and detect every token that is missing,
+// repeated or taken from another output.
 #pragma once
 
 #include "lupinknot/Token.h"
@@ -10,21 +10,21 @@
 
 namespace lupinknot::internal {
 
-// Not thread-safe; a plain value.
+// Not thread-safe; a value type.
 class TokenSequence {
 public:
     explicit TokenSequence(const std::vector<TokenId>& prefix);
 
-    // The token that follows everything so far.
+    // The token that follows the current sequence.
     Token next() const;
-    // Adds a token to what the next one depends on.
+    // Appends a token to the sequence.
     void push(TokenId);
 
 private:
     std::uint64_t m_state;
 };
 
-// Splits a text into words and gives each an id.
+// Splits a text into words and maps each to a token id.
 std::vector<TokenId> tokenize(std::string_view text);
 std::string textOfToken(TokenId);
 
--- a/src/standin/main.cpp
+++ b/src/standin/main.cpp
@@ -1,4 +1,4 @@
-// lupinknot-standin: stands in for a model engine, a plain service or the platform. For tests, demos and benchmarks.
+// lupinknot-standin: simulates a model engine, a plain service or the platform for tests, demos and benchmarks.
 
 #include "common/Log.h"
 #include "common/Version.h"
@@ -26,30 +26,30 @@
 
 Options parseOptions(int argc, char** argv)
 {
-    TCLAP::CmdLine line("Stands in for a model engine, a plain service or the platform.", ' ', std::string(version));
+    TCLAP::CmdLine line("Simulates a model engine, a plain service or the platform.", ' ', std::string(version));
     std::vector<std::string> modes { "engine", "service", "platform" };
     TCLAP::ValuesConstraint<std::string> isMode(modes);
-    TCLAP::UnlabeledValueArg<std::string> mode("mode", "What to stand in for.", true, "", &isMode, line);
+    TCLAP::UnlabeledValueArg<std::string> mode("mode", "What to simulate.", true, "", &isMode, line);
     const EngineStandInSettings defaults;
-    TCLAP::ValueArg<std::string> name("", "name", "Name in logs and answers.", false, defaults.name, "name", line);
+    TCLAP::ValueArg<std::string> name("", "name", "Name in logs and responses.", false, defaults.name, "name", line);
     TCLAP::ValueArg<std::int64_t> port("", "port", "Port to listen on.", false, 0, "port", line);
     TCLAP::ValueArg<std::string> model(
         "", "model", "Model that the engine serves.", false, defaults.model, "name", line);
     TCLAP::ValueArg<std::int64_t> step(
         "", "step-ms", "Time between two tokens of a stream.", false, defaults.step.count(), "ms", line);
-    TCLAP::ValueArg<double> jitter(
-        "", "jitter", "Largest part of a step by which noise changes it.", false, defaults.jitter, "part", line);
+    TCLAP::ValueArg<double> jitter("", "jitter", "Largest share of the step time by which noise changes a step.", false,
+        defaults.jitter, "part", line);
     TCLAP::ValueArg<double> stall(
-        "", "stall-chance", "Chance that a step is held up.", false, defaults.stallChance, "chance", line);
-    TCLAP::ValueArg<std::int64_t> prefill("", "prefill-us", "Prefill time of a token that is not cached.", false,
-        defaults.prefillMicroseconds, "us", line);
+        "", "stall-chance", "Probability that a step stalls.", false, defaults.stallChance, "chance", line);
+    TCLAP::ValueArg<std::int64_t> prefill("", "prefill-us", "Prefill time of a token that is not in the prefix cache.",
+        false, defaults.prefillMicroseconds, "us", line);
     TCLAP::ValueArg<std::int64_t> batch(
-        "", "max-batch", "Streams in one step.", false, defaults.maxBatch, "count", line);
+        "", "max-batch", "Largest number of streams in one step.", false, defaults.maxBatch, "count", line);
     TCLAP::ValueArg<std::int64_t> cache(
         "", "cache-tokens", "Size of the prefix cache.", false, defaults.cacheTokens, "tokens", line);
     TCLAP::ValueArg<std::uint64_t> seed("", "seed", "Seed of the noise.", false, defaults.seed, "number", line);
     TCLAP::ValueArg<std::string> control(
-        "", "control", "Faults to begin with, as for POST /control.", false, "{}", "json", line);
+        "", "control", "Initial faults, as for POST /control.", false, "{}", "json", line);
     line.parse(argc, argv);
 
     Options options { mode.getValue(), control.getValue(), defaults };
@@ -78,7 +78,7 @@
         return exitNotStarted;
     }
     if (!standIn.control(options.control)) {
-        std::cerr << "lupinknot-standin: --control is not a JSON object\n";
+        std::cerr << "lupinknot-standin: --control: expected a JSON object\n";
         return exitNotStarted;
     }
     std::cout << "port " << standIn.port() << std::endl;
