--- a/src/standin/EngineStandIn.cpp
+++ b/src/standin/EngineStandIn.cpp
@@ -22,7 +22,7 @@
 
 HttpResponse jsonResponse(const json& body) { return { 200, { { "Content-Type", "application/json" } }, body.dump() }; }
 
-HttpResponse refusal(unsigned status, const std::string& code, const std::string& message)
+HttpResponse jsonError(unsigned status, const std::string& code, const std::string& message)
 {
     return errorResponse({ status, code, message, "", status == 503 ? RunOutcome::NotRun : RunOutcome::Unknown, {} });
 }
@@ -61,7 +61,7 @@
     m_server.stop();
     // Streams hold connections of the server's io_context, which is destroyed before the members declared above it.
     m_streams.clear();
-    m_kept.clear();
+    m_attachableStreams.clear();
 }
 
 std::optional<std::string> EngineStandIn::start()
@@ -121,9 +121,9 @@
     else if (request.method == "GET" && path == "/stats")
         exchange->respond(stats());
     else if (request.method == "POST" && path == "/control")
-        exchange->respond(controlled(request.body));
+        exchange->respond(handleControl(request.body));
     else
-        exchange->respond(refusal(404, "not_found", "nothing is here"));
+        exchange->respond(jsonError(404, "not_found", "nothing is here"));
 }
 
 void EngineStandIn::complete(const std::shared_ptr<HttpExchange>& exchange)
@@ -132,11 +132,11 @@
     const std::lock_guard lock(m_mutex);
     const bool isFull = m_streams.size() >= static_cast<std::size_t>(m_settings.maxBatch + m_settings.maxQueue);
     if (m_faults.refusesWork || isFull)
-        exchange->respond(refusal(503, "overloaded", "the engine takes no more work"));
+        exchange->respond(jsonError(503, "overloaded", "the engine takes no more work"));
     else if (m_faults.failsWork)
-        exchange->respond(refusal(500, "failed", "the engine has failed"));
+        exchange->respond(jsonError(500, "failed", "the engine has failed"));
     else if (!request || request->model != m_settings.model)
-        exchange->respond(refusal(400, "bad_request", "the request cannot be read, or the model is not served"));
+        exchange->respond(jsonError(400, "bad_request", "the request cannot be read, or the model is not served"));
     else
         admit(exchange, std::move(*request));
 }
@@ -158,15 +158,15 @@
 
     const auto stream = std::make_shared<EngineStream>(std::move(request), m_prefillFreeAt);
     m_streams.push_back(stream);
-    if (stream->request().keepOnDisconnect > Milliseconds::zero() && m_kept.size() < maxKept)
-        m_kept[stream->request().id] = stream;
+    if (stream->request().keepOnDisconnect > Milliseconds::zero() && m_attachableStreams.size() < maxKept)
+        m_attachableStreams[stream->request().id] = stream;
     attach(stream, exchange, 0);
 }
 
 void EngineStandIn::attach(
     const std::shared_ptr<EngineStream>& stream, const std::shared_ptr<HttpExchange>& exchange, std::size_t position)
 {
-    exchange->onGone([this, stream, raw = exchange.get()] { connectionGone(stream, *raw); });
+    exchange->onGone([this, stream, raw = exchange.get()] { handleDisconnect(stream, *raw); });
     stream->attach(exchange, position);
 }
 
@@ -176,9 +176,9 @@
     const auto from = target.find("?from=");
     const auto position = from == std::string::npos ? 0 : std::strtoul(target.c_str() + from + 6, nullptr, 10);
     const std::lock_guard lock(m_mutex);
-    const auto entry = m_kept.find(streamIdOf(exchange->request()));
-    if (entry == m_kept.end() || position > entry->second->producedCount()) {
-        exchange->respond(refusal(404, "no_stream", "no such stream, or not that far"));
+    const auto entry = m_attachableStreams.find(streamIdOf(exchange->request()));
+    if (entry == m_attachableStreams.end() || position > entry->second->generatedCount()) {
+        exchange->respond(jsonError(404, "no_stream", "no such stream, or not that far"));
         return;
     }
     attach(entry->second, exchange, position);
@@ -192,11 +192,11 @@
     const auto stream = std::find_if(m_streams.begin(), m_streams.end(), hasId);
     if (stream != m_streams.end())
         cancel(std::shared_ptr<EngineStream>(*stream));
-    m_kept.erase(id);
+    m_attachableStreams.erase(id);
     exchange->respond(jsonResponse({ { "cancelled", id } }));
 }
 
-void EngineStandIn::connectionGone(const std::shared_ptr<EngineStream>& stream, const HttpExchange& exchange)
+void EngineStandIn::handleDisconnect(const std::shared_ptr<EngineStream>& stream, const HttpExchange& exchange)
 {
     const std::lock_guard lock(m_mutex);
     if (!stream->detach(exchange))
@@ -218,7 +218,7 @@
 
 void EngineStandIn::cancel(const std::shared_ptr<EngineStream>& stream)
 {
-    m_kept.erase(stream->request().id);
+    m_attachableStreams.erase(stream->request().id);
     const auto entry = std::find(m_streams.begin(), m_streams.end(), stream);
     if (entry == m_streams.end())
         return;
@@ -252,11 +252,11 @@
         { "decoded_tokens", m_work.decodedTokens }, { "cancelled", m_work.cancelled }, { "by_request", requests } });
 }
 
-HttpResponse EngineStandIn::controlled(const std::string& text)
+HttpResponse EngineStandIn::handleControl(const std::string& text)
 {
     if (control(text))
         return jsonResponse({ { "ok", true } });
-    return refusal(400, "bad_control", "the control call cannot be read");
+    return jsonError(400, "bad_control", "the control call cannot be read");
 }
 
 bool EngineStandIn::control(const std::string& text)
@@ -331,7 +331,7 @@
 
 void EngineStandIn::stepStream(EngineStream& stream)
 {
-    strike(stream);
+    injectDueFaults(stream);
     if (stream.isComplete() || m_streams.empty() || m_clock.now() < m_pausedUntil)
         return;
     stream.step();
@@ -343,20 +343,20 @@
 }
 
 // Injects the faults that are due at the stream's number of tokens.
-void EngineStandIn::strike(EngineStream& stream)
+void EngineStandIn::injectDueFaults(EngineStream& stream)
 {
     const auto isDue = [&stream](std::optional<std::size_t>& at) {
-        const bool due = at && *at <= stream.producedCount();
+        const bool due = at && *at <= stream.generatedCount();
         if (due)
             at.reset();
         return due;
     };
     if (isDue(m_faults.skipAt))
-        stream.skipOne();
+        stream.omitNextToken();
     if (isDue(m_faults.endEarlyAt))
-        stream.breakOff("");
+        stream.endWithFault("");
     if (isDue(m_faults.malformedAt))
-        stream.breakOff("data: {not json\n\n");
+        stream.endWithFault("data: {not json\n\n");
     if (isDue(m_faults.pauseAt))
         pause(m_faults.pauseTime);
     if (isDue(m_faults.crashAt))
@@ -366,7 +366,7 @@
 void EngineStandIn::crash()
 {
     m_streams.clear();
-    m_kept.clear();
+    m_attachableStreams.clear();
     m_cache.clear();
     m_prefillFreeAt = Milliseconds { 0 };
     m_server.crash(m_faults.downTime);
--- a/src/standin/EngineStandIn.h
+++ b/src/standin/EngineStandIn.h
@@ -69,17 +69,17 @@
     void attach(const std::shared_ptr<EngineStream>&, const std::shared_ptr<HttpExchange>&, std::size_t position);
     void reattach(const std::shared_ptr<HttpExchange>&);
     void cancelById(const std::shared_ptr<HttpExchange>&);
-    void connectionGone(const std::shared_ptr<EngineStream>&, const HttpExchange&);
+    void handleDisconnect(const std::shared_ptr<EngineStream>&, const HttpExchange&);
     void cancel(const std::shared_ptr<EngineStream>&);
     HttpResponse load() const;
     HttpResponse stats() const;
-    HttpResponse controlled(const std::string& json);
+    HttpResponse handleControl(const std::string& json);
 
     void scheduleStep();
     void step();
     Milliseconds nextStepTime();
     void stepStream(EngineStream&);
-    void strike(EngineStream&);
+    void injectDueFaults(EngineStream&);
     void crash();
     void pause(Milliseconds);
     Streams batch() const;
@@ -93,7 +93,7 @@
     PrefixCache m_cache;
     Streams m_streams;
     // Completed or running streams that callers may re-attach to.
-    std::map<std::string, std::shared_ptr<EngineStream>> m_kept;
+    std::map<std::string, std::shared_ptr<EngineStream>> m_attachableStreams;
     std::map<std::string, RequestWork> m_requestWork;
     std::deque<LoadSample> m_loadSamples;
     Work m_work;
--- a/src/standin/EngineStream.cpp
+++ b/src/standin/EngineStream.cpp
@@ -22,11 +22,11 @@
         const std::lock_guard lock(m_stream->m_mutex);
         HttpBodyPiece piece { m_stream->eventsFrom(m_position), false };
         m_position = m_stream->m_tokens.size();
-        if (m_stream->m_brokenEnd)
-            piece.bytes.append(*m_stream->m_brokenEnd);
+        if (m_stream->m_faultBytes)
+            piece.bytes.append(*m_stream->m_faultBytes);
         else if (m_stream->isEnded())
             piece.bytes.append("data: [DONE]\n\n");
-        piece.isLast = m_stream->m_brokenEnd || m_stream->isEnded();
+        piece.isLast = m_stream->m_faultBytes || m_stream->isEnded();
         return piece;
     }
 
@@ -76,21 +76,21 @@
         m_exchange->wake();
 }
 
-void EngineStream::breakOff(const std::string& bytes)
+void EngineStream::endWithFault(const std::string& bytes)
 {
     const std::lock_guard lock(m_mutex);
-    m_brokenEnd = bytes;
+    m_faultBytes = bytes;
     if (m_exchange)
         m_exchange->wake();
 }
 
-void EngineStream::skipOne()
+void EngineStream::omitNextToken()
 {
     const std::lock_guard lock(m_mutex);
-    m_skipped = m_tokens.size();
+    m_omittedPosition = m_tokens.size();
 }
 
-std::size_t EngineStream::producedCount() const
+std::size_t EngineStream::generatedCount() const
 {
     const std::lock_guard lock(m_mutex);
     return m_tokens.size();
@@ -99,14 +99,14 @@
 bool EngineStream::isComplete() const
 {
     const std::lock_guard lock(m_mutex);
-    return isEnded() || m_brokenEnd;
+    return isEnded() || m_faultBytes;
 }
 
 std::string EngineStream::eventsFrom(std::size_t position) const
 {
     std::string events;
     for (auto i = position; i < m_tokens.size(); ++i) {
-        if (i != m_skipped)
+        if (i != m_omittedPosition)
             events.append("data: ").append(eventOf(i)).append("\n\n");
     }
     return events;
--- a/src/standin/EngineStream.h
+++ b/src/standin/EngineStream.h
@@ -42,10 +42,10 @@
     // Generates the next token, and ends the stream after the last one.
     void step();
     // Sends the bytes of an injected fault next and ends the stream after them.
-    void breakOff(const std::string& bytes);
+    void endWithFault(const std::string& bytes);
     // Omits the next token from the output.
-    void skipOne();
-    std::size_t producedCount() const;
+    void omitNextToken();
+    std::size_t generatedCount() const;
     bool isComplete() const;
 
 private:
@@ -61,8 +61,8 @@
     TokenSequence m_sequence;
     std::vector<Token> m_tokens;
     std::shared_ptr<HttpExchange> m_exchange;
-    std::optional<std::string> m_brokenEnd;
-    std::optional<std::size_t> m_skipped;
+    std::optional<std::string> m_faultBytes;
+    std::optional<std::size_t> m_omittedPosition;
 };
 
 } // namespace lupinknot::internal
--- a/src/standin/PlatformStandIn.cpp
+++ b/src/standin/PlatformStandIn.cpp
@@ -16,7 +16,7 @@
 
 HttpResponse jsonText(std::string text) { return { 200, { { "Content-Type", "application/json" } }, std::move(text) }; }
 
-HttpResponse refusal(unsigned status, const std::string& code, const std::string& message)
+HttpResponse jsonError(unsigned status, const std::string& code, const std::string& message)
 {
     return errorResponse({ status, code, message, "", RunOutcome::NotRun, {} });
 }
@@ -39,12 +39,12 @@
     const auto now = m_clock.now();
     if (body.contains("endpoints")) {
         m_nextList = json { { "endpoints", body["endpoints"] } }.dump();
-        m_nextListFrom = now + Milliseconds { body.value("lag_ms", std::int64_t { 0 }) };
+        m_nextListVisibleAt = now + Milliseconds { body.value("lag_ms", std::int64_t { 0 }) };
     }
     if (body.contains("outage_ms"))
         m_outageUntil = now + Milliseconds { body["outage_ms"].get<std::int64_t>() };
     m_delay = Milliseconds { body.value("delay_ms", m_delay.count()) };
-    m_answersToLose = body.value("lose_answers", m_answersToLose);
+    m_responsesToLose = body.value("lose_answers", m_responsesToLose);
     return true;
 }
 
@@ -52,9 +52,9 @@
 {
     const auto& request = exchange->request();
     if (request.method == "POST" && request.path() == "/control") {
-        const bool isGood = control(request.body);
+        const bool isApplied = control(request.body);
         exchange->respond(
-            isGood ? jsonText(R"({"ok":true})") : refusal(400, "bad_control", "the control call cannot be read"));
+            isApplied ? jsonText(R"({"ok":true})") : jsonError(400, "bad_control", "the control call cannot be read"));
         return;
     }
     Milliseconds delay;
@@ -79,12 +79,12 @@
     const auto path = request.path();
     const std::lock_guard lock(m_mutex);
     if (m_clock.now() < m_outageUntil) {
-        exchange->respond(refusal(503, "outage", "the platform is down"));
+        exchange->respond(jsonError(503, "outage", "the platform is down"));
         return;
     }
-    if (m_clock.now() >= m_nextListFrom) {
+    if (m_clock.now() >= m_nextListVisibleAt) {
         m_list = m_nextList;
-        m_nextListFrom = Milliseconds::max();
+        m_nextListVisibleAt = Milliseconds::max();
     }
     const bool isRow = path.substr(0, tablePath.size()) == tablePath;
     const std::string key(isRow ? path.substr(tablePath.size()) : std::string_view());
@@ -98,14 +98,14 @@
     } else if (isRow && request.method == "PUT") {
         ++m_writes;
         const auto response = writeRow(key, std::string(request.headers.find("If-Match").value_or("0")), request.body);
-        if (response.status == 200 && m_answersToLose) {
-            --m_answersToLose;
+        if (response.status == 200 && m_responsesToLose) {
+            --m_responsesToLose;
             m_server.crash(shortOutage);
             return;
         }
         exchange->respond(response);
     } else {
-        exchange->respond(refusal(404, "not_found", "nothing is here"));
+        exchange->respond(jsonError(404, "not_found", "nothing is here"));
     }
 }
 
@@ -115,7 +115,7 @@
 {
     const auto entry = m_table.find(key);
     if (entry == m_table.end())
-        return refusal(404, "no_row", "no such row");
+        return jsonError(404, "no_row", "no such row");
     auto response = jsonText(entry->second.value);
     response.headers.add("ETag", std::to_string(entry->second.revision));
     return response;
@@ -125,7 +125,7 @@
 {
     auto& row = m_table[key];
     if (expected != std::to_string(row.revision))
-        return refusal(412, "conflict", "the row has revision " + std::to_string(row.revision));
+        return jsonError(412, "conflict", "the row has revision " + std::to_string(row.revision));
     row.value = value;
     auto response = jsonText(R"({"ok":true})");
     response.headers.add("ETag", std::to_string(++row.revision));
--- a/src/standin/PlatformStandIn.h
+++ b/src/standin/PlatformStandIn.h
@@ -47,10 +47,10 @@
     // m_mutex protects the members below.
     std::string m_list { R"({"endpoints":[]})" };
     std::string m_nextList;
-    Milliseconds m_nextListFrom { Milliseconds::max() };
+    Milliseconds m_nextListVisibleAt { Milliseconds::max() };
     Milliseconds m_outageUntil { 0 };
     Milliseconds m_delay { 0 };
-    std::size_t m_answersToLose { 0 };
+    std::size_t m_responsesToLose { 0 };
     std::map<std::string, Row> m_table;
     std::uint64_t m_reads { 0 };
     std::uint64_t m_writes { 0 };
--- a/src/standin/ServiceStandIn.cpp
+++ b/src/standin/ServiceStandIn.cpp
@@ -36,7 +36,7 @@
         return false;
     const std::lock_guard lock(m_mutex);
     m_refuses = body.value("refuse", m_refuses);
-    m_answersToLose = body.value("lose_answers", m_answersToLose);
+    m_responsesToLose = body.value("lose_answers", m_responsesToLose);
     m_delay = Milliseconds { body.value("delay_ms", m_delay.count()) };
     if (body.contains("pause_ms"))
         m_pausedUntil = m_clock.now() + Milliseconds { body["pause_ms"].get<std::int64_t>() };
@@ -60,8 +60,8 @@
         return;
     }
     if (request.method == "POST" && request.path() == "/control") {
-        const bool isGood = control(request.body);
-        exchange->respond(isGood
+        const bool isApplied = control(request.body);
+        exchange->respond(isApplied
                 ? jsonResponse({ { "ok", true } })
                 : errorResponse({ 400, "bad_control", "the control call cannot be read", "", RunOutcome::NotRun, {} }));
         return;
@@ -80,8 +80,8 @@
     }
     if (const auto workId = request.headers.find("X-Work-Id"))
         ++m_runs[std::string(*workId)];
-    if (m_answersToLose) {
-        --m_answersToLose;
+    if (m_responsesToLose) {
+        --m_responsesToLose;
         m_server.crash(shortOutage);
         return;
     }
@@ -92,10 +92,10 @@
         { "headers", headers }, { "body", request.body } });
     response.headers.add("X-Service", m_name);
     const auto pauseLeft = m_pausedUntil - m_clock.now();
-    respondLater(exchange, std::move(response), std::max(m_delay, pauseLeft));
+    respondAfterDelay(exchange, std::move(response), std::max(m_delay, pauseLeft));
 }
 
-void ServiceStandIn::respondLater(
+void ServiceStandIn::respondAfterDelay(
     const std::shared_ptr<HttpExchange>& exchange, HttpResponse response, Milliseconds delay)
 {
     if (delay <= Milliseconds::zero()) {
--- a/src/standin/ServiceStandIn.h
+++ b/src/standin/ServiceStandIn.h
@@ -32,7 +32,7 @@
 private:
     void handle(const std::shared_ptr<HttpExchange>&);
     void run(const std::shared_ptr<HttpExchange>&);
-    void respondLater(const std::shared_ptr<HttpExchange>&, HttpResponse, Milliseconds delay);
+    void respondAfterDelay(const std::shared_ptr<HttpExchange>&, HttpResponse, Milliseconds delay);
     HttpResponse stats() const;
 
     const std::string m_name;
@@ -40,7 +40,7 @@
     mutable std::mutex m_mutex;
     // m_mutex protects the members below.
     std::map<std::string, std::size_t> m_runs;
-    std::size_t m_answersToLose { 0 };
+    std::size_t m_responsesToLose { 0 };
     Milliseconds m_delay { 0 };
     Milliseconds m_pausedUntil { 0 };
     bool m_refuses { false };
