--- a/src/load/GenerationCaller.cpp
+++ b/src/load/GenerationCaller.cpp
@@ -80,7 +80,7 @@
     return request;
 }
 
-// A caller with a key comes back after a lost connection, and where it is told to come back.
+// A caller with a key reconnects after a lost connection, after a refusal with 503 as not run, and after a takeover.
 bool GenerationCaller::mayReconnect() const
 {
     if (m_options.idempotencyKey.empty() || m_result.hasLeft || m_hasDone || m_result.reconnects >= maxReconnects)
@@ -150,7 +150,7 @@
 {
     const auto colon = id.rfind(':');
     const auto generation = id.substr(0, colon);
-    // Another VM goes on under the same name with a mark behind it.
+    // Another VM that continues the generation appends a suffix to its name.
     const bool isSameAnswer = baseOf(generation) == baseOf(m_result.generation);
     const auto count = std::strtoul(id.c_str() + colon + 1, nullptr, 10);
     if (m_result.generation.empty())
--- a/src/load/GenerationCaller.h
+++ b/src/load/GenerationCaller.h
@@ -1,4 +1,4 @@
-// One caller of the load tool: asks for an answer, checks it token by token, and comes back when its VM is lost.
+// One caller of the load tool: requests a generation, checks it token by token, and reconnects when its VM is lost.
 #pragma once
 
 #include "http/HttpCallListener.h"
@@ -22,17 +22,17 @@
     std::vector<TokenId> promptIds;
     std::size_t maxTokens { 16 };
     std::string model;
-    // Empty for none; a caller without a key cannot come back.
+    // Empty for none; a caller without a key cannot reconnect.
     std::string idempotencyKey;
     bool repeatable { true };
     std::size_t firstDaemon { 0 };
-    // The caller leaves after this many tokens.
+    // The caller disconnects after this many tokens.
     std::optional<std::size_t> leaveAfter;
-    // Hears of each token; for the story on the screen.
+    // Called for each token, for example to print it.
     std::function<void(std::size_t position, const Token&)> onToken;
 };
 
-// run() waits on the calling thread; the rest is called by the client's pool, one call at a time.
+// run() blocks the calling thread; threads of the HTTP client's pool call the other functions, one call at a time.
 class GenerationCaller final : public HttpCallListener, public std::enable_shared_from_this<GenerationCaller> {
 public:
     GenerationCaller(const LoadOptions&, GenerationCallerOptions);
@@ -47,7 +47,7 @@
 private:
     enum class Phase {
         Running,
-        Ended, // The connection has ended; the answer may or may not be whole.
+        Ended, // The connection has ended; the response may be incomplete.
     };
 
     void connect(std::size_t daemon);
@@ -64,7 +64,7 @@
     TokenSequence m_expected;
     std::mutex m_mutex;
     std::condition_variable m_condition;
-    // All that follows is under the lock.
+    // m_mutex protects the members below.
     Phase m_phase { Phase::Running };
     std::shared_ptr<HttpCall> m_call;
     SseParser m_parser;
@@ -72,7 +72,7 @@
     bool m_hasFinish { false };
     bool m_hasDone { false };
     GenerationResult m_result;
-    // When the caller last came back, until the next token.
+    // Time of the last reconnect; empty once a token has arrived after it.
     std::optional<Milliseconds> m_reconnectedAt;
 };
 
--- a/src/load/GenerationResult.h
+++ b/src/load/GenerationResult.h
@@ -1,4 +1,4 @@
-// What one caller saw of its answer.
+// What one caller received for its generation.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -9,24 +9,24 @@
 
 struct GenerationResult {
     std::string generation;
-    // Index of the daemon that answered last.
+    // Index of the daemon that responded last.
     std::size_t daemon { 0 };
     unsigned status { 0 };
-    // Every token as expected, the finish event, and nothing more.
+    // All expected tokens and the finish event arrived, and nothing else.
     bool isWhole { false };
     std::size_t delivered { 0 };
     std::size_t missing { 0 };
     std::size_t repeated { 0 };
     std::size_t mixed { 0 };
     std::size_t reconnects { 0 };
-    // From each reconnect that reached a VM to the next token.
+    // Time from each reconnect that reached a VM to the next token.
     std::vector<Milliseconds> reconnectWaits;
-    // The caller left on purpose.
+    // The caller disconnected on purpose.
     bool hasLeft { false };
     std::string error;
     std::string outcome;
     Milliseconds startedAt { 0 };
-    // When each token arrived.
+    // Arrival time of each token.
     std::vector<Milliseconds> arrivals;
 };
 
--- a/src/load/LoadOptions.h
+++ b/src/load/LoadOptions.h
@@ -1,4 +1,4 @@
-// What lupinknot-load is asked to do.
+// Options of lupinknot-load.
 #pragma once
 
 #include "http/SocketAddress.h"
@@ -24,7 +24,7 @@
     std::size_t concurrency { 16 };
     std::size_t promptTokens { 200 };
     std::size_t maxTokens { 60 };
-    // Pause between two quick calls to a plain service.
+    // Interval between short calls to a plain service.
     Milliseconds quickInterval { 20 };
     std::uint64_t seed { 1 };
 };
--- a/src/load/LoadReport.h
+++ b/src/load/LoadReport.h
@@ -1,4 +1,4 @@
-// What a run of the load tool found.
+// The results of one run of the load tool.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -7,10 +7,10 @@
 
 namespace lupinknot::internal {
 
-// Milliseconds, in the order in which they were measured.
+// Milliseconds, in order of measurement.
 using Samples = std::vector<double>;
 
-// The sample below which a part of all samples lies; 0 when there is none.
+// The nearest-rank quantile for a part from 0 to 1; 0 if there are no samples.
 double quantile(Samples, double part);
 
 struct LoadReport {
@@ -24,23 +24,23 @@
     std::size_t falseNotRun { 0 };
     std::size_t errors { 0 };
     std::size_t reconnects { 0 };
-    // The caller's wait from the last token before a loss to the first after it.
+    // The caller's wait from the last token before a lost attempt to the first token after it.
     Samples resume;
-    // From the daemon's detection of a lost connection to its next token, less the time the engine itself took to make
-    // that token. Losses that follow each other without a token between them are left out.
+    // Time from the daemon's detection of a lost connection to its next token, minus the time that the engine needed to
+    // generate that token. Excludes consecutive losses without a token between them.
     Samples resumeBeyondEngine;
-    // The caller's wait where the loss showed as silence.
+    // The caller's wait where the daemon detected the loss by the engine's silence.
     Samples resumeAfterSilence;
-    // The caller's wait from its reconnect to another VM to its next token.
+    // The caller's wait from its reconnect to a VM to its next token.
     Samples reconnect;
     double extraPrefillRatio { 0 };
     double extraDecodeRatio { 0 };
     Samples quick;
     std::size_t quickErrors { 0 };
-    // What a scenario checks beside the counts; each entry is a broken expectation.
+    // Failed expectations of the scenario and errors of generations.
     std::vector<std::string> problems;
 
-    // True when every promise held.
+    // True if all outputs are complete and correct and there were no double runs, errors or problems.
     bool isGood() const;
     std::string json() const;
 };
--- a/src/load/LoadRun.cpp
+++ b/src/load/LoadRun.cpp
@@ -123,7 +123,7 @@
 bool LoadRun::controlPlatform(const std::string& text)
 {
     const bool isDone = !m_options.platforms.empty() && control(m_options.platforms.front(), text);
-    expect(isDone, "the platform took no control call");
+    expect(isDone, "the platform stand-in did not accept the control call");
     return isDone;
 }
 
@@ -166,7 +166,7 @@
 void LoadRun::expectEngineRuns(std::size_t requests, std::size_t needed)
 {
     m_report.doubleRuns += requests > needed ? requests - needed : 0;
-    expect(requests >= needed, "fewer runs than requests: " + std::to_string(requests));
+    expect(requests >= needed, "engines received fewer requests than needed: " + std::to_string(requests));
 }
 
 void LoadRun::expect(bool condition, const std::string& problem)
@@ -194,7 +194,7 @@
 {
     const std::lock_guard lock(m_mutex);
     m_results.push_back(result);
-    // Two callers with one key share one run.
+    // Two callers with the same key share one generation.
     const auto base = result.generation.substr(0, result.generation.find('~'));
     const bool isShared = !base.empty() && !m_generations.insert(base).second;
     m_promptTokens += isShared ? 0 : promptTokens;
@@ -215,7 +215,7 @@
     }
 }
 
-// Asks the VM that ran a generation where its attempts changed, and takes the caller's own wait at those positions.
+// Reads the positions at which the generation changed attempts from its VM, and records the caller's waits there.
 void LoadRun::recordResumptions(const GenerationResult& result)
 {
     const auto described
@@ -234,8 +234,8 @@
                 m_report.resumeAfterSilence.push_back(wait);
             const auto work
                 = m_totals.byRequest.find(result.generation + ":" + std::to_string(attempt["number"].get<unsigned>()));
-            // Where an attempt before this one was lost without a token, its engine's time would have to be taken off
-            // too.
+            // If the previous attempt was lost without a token, its engine's time would have to be subtracted too, so
+            // this sample is skipped.
             const bool isSingleLoss = position > lastPosition;
             if (isSingleLoss && lastFailure != "silent" && work != m_totals.byRequest.end())
                 m_report.resumeBeyondEngine.push_back(
@@ -258,7 +258,7 @@
         m_totals.byRequest[entry.key()].firstTokenMs = entry.value()["first_token_ms"].get<double>();
 }
 
-// No call that must not be repeated ran twice, and none that was refused as not run ran at all.
+// Counts non-repeatable calls that ran more than once, and calls that ran although they were refused as not run.
 void LoadRun::checkServiceRuns()
 {
     std::map<std::string, std::size_t> runs;
--- a/src/load/LoadRun.h
+++ b/src/load/LoadRun.h
@@ -1,4 +1,4 @@
-// One run: callers, quick calls beside them, and what the engines and services say of the work done.
+// One run of the load tool: callers, concurrent short calls, and the work statistics of engines and services.
 #pragma once
 
 #include "load/GenerationCaller.h"
@@ -12,19 +12,19 @@
 
 namespace lupinknot::internal {
 
-// The engines' own account of one attempt.
+// An engine's statistics of one attempt.
 struct EngineRequestWork {
     double firstTokenMs { 0 };
 };
 
-// Sums over all engines, those that died in between included.
+// Sums over all engines, including those that were killed during the run.
 struct EngineTotals {
     std::size_t prefillTokens { 0 };
     std::size_t decodedTokens { 0 };
     std::map<std::string, EngineRequestWork> byRequest;
 };
 
-// Thread-safe where it says so; the rest is called by the scenario's thread.
+// Functions marked thread-safe may be called from any thread, all others only from the scenario's thread.
 class LoadRun {
 public:
     LoadRun(const LoadOptions&, LoadReport&);
@@ -37,28 +37,28 @@
     // Runs generations with the options' concurrency and returns when all have ended.
     void runGenerations(
         std::size_t count, const std::function<void(GenerationCallerOptions&, std::size_t index)>& adapt = {});
-    // Runs one generation and counts it.
+    // Runs one generation and adds its result to the report.
     GenerationResult runOne(GenerationCallerOptions);
     GenerationCallerOptions newCaller();
 
     void startQuickCalls();
     void stopQuickCalls();
 
-    // Sets faults of one engine; thread-safe. Returns false when the engine did not answer.
+    // Sets faults of one engine; thread-safe. Returns false if the engine did not respond.
     bool controlEngine(std::size_t engine, const std::string& json);
     bool controlPlatform(const std::string& json);
-    // Kills the engine's process, after having asked it for its account; thread-safe.
+    // Reads the engine's statistics, then kills its process; thread-safe.
     void killEngine(std::size_t engine);
-    // The engine with the most streams; thread-safe.
+    // Index of the engine with the most active streams; thread-safe.
     std::size_t busiestEngine();
     std::size_t activeStreams(std::size_t engine);
-    // Requests that all engines have got so far.
+    // The number of requests that all engines have received so far.
     std::size_t engineRequests();
-    // Counts every request beyond the number needed as a double run.
+    // Counts each request above the needed number as a double run, and reports a problem if there were fewer.
     void expectEngineRuns(std::size_t requests, std::size_t needed);
     void expect(bool condition, const std::string& problem);
 
-    // Fills in what can be known only when all is quiet.
+    // Completes the report; call it after all generations have ended.
     void settle();
 
 private:
@@ -72,7 +72,7 @@
     LoadReport& m_report;
     const MonotonicClock m_clock;
     std::mutex m_mutex;
-    // All that follows is under the lock.
+    // m_mutex protects the members below.
     std::mt19937_64 m_random;
     EngineTotals m_totals;
     std::size_t m_promptTokens { 0 };
--- a/src/load/Scenario.cpp
+++ b/src/load/Scenario.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-// Does something again and again on a thread of its own until it is destroyed.
+// Repeats an action at an interval on its own thread until destroyed.
 class Repeater {
 public:
     Repeater(Milliseconds interval, std::function<void(std::size_t round)> action)
@@ -47,14 +47,14 @@
     run.runGenerations(run.options().generations);
 }
 
-// One long answer on the screen; its engine is killed in the middle of it. Others run beside it.
+// Prints one long generation and kills the busiest engine in the middle of it, while other generations run.
 void runEngineDeath(LoadRun& run)
 {
     constexpr std::size_t killAt = 25;
     constexpr std::size_t storyTokens = 80;
     constexpr std::size_t others = 6;
-    std::cerr << "One caller asks for an answer of " << storyTokens << " tokens; " << others
-              << " more run beside it.\n\n   ";
+    std::cerr << "One caller requests a generation of " << storyTokens << " tokens; " << others
+              << " other generations run at the same time.\n\n   ";
     run.startQuickCalls();
     std::thread beside([&run] { run.runGenerations(others); });
     std::thread killer;
@@ -66,8 +66,8 @@
             return;
         killer = std::thread([&run] {
             const auto engine = run.busiestEngine();
-            std::cerr << "\n\n>> engine " << engine + 1 << " dies, in the middle of " << run.activeStreams(engine)
-                      << " answers <<\n\n   ";
+            std::cerr << "\n\n>> engine " << engine + 1 << " is killed while it runs " << run.activeStreams(engine)
+                      << " generations <<\n\n   ";
             run.killEngine(engine);
         });
     };
@@ -76,11 +76,11 @@
         killer.join();
     beside.join();
     std::cerr << "\n\n"
-              << (result.isWhole ? "The answer is whole: " : "THE ANSWER IS NOT WHOLE: ") << result.delivered
-              << " tokens, each the one expected.\n";
+              << (result.isWhole ? "The output is complete: " : "THE OUTPUT IS INCOMPLETE OR WRONG: ")
+              << result.delivered << " tokens received.\n";
 }
 
-// Engines stand still for a while and come back as if nothing had happened.
+// Engines freeze for a while and then continue where they stopped.
 void runEnginePause(LoadRun& run)
 {
     run.startQuickCalls();
@@ -90,7 +90,7 @@
     run.runGenerations(run.options().generations);
 }
 
-// Half of the engines die, come back empty, and die again.
+// Half of the engines crash repeatedly and restart without state.
 void runEngineStorm(LoadRun& run)
 {
     run.startQuickCalls();
@@ -102,7 +102,7 @@
     run.runGenerations(run.options().generations);
 }
 
-// Every third caller leaves in the middle; its engine must stop at once.
+// Every third caller disconnects early; its engine must stop the stream at once.
 void runCallerGone(LoadRun& run)
 {
     run.startQuickCalls();
@@ -115,14 +115,14 @@
     run.runGenerations(run.options().generations, adapt);
     std::this_thread::sleep_for(Milliseconds { 300 });
     for (std::size_t i = 0; i < run.options().engines.size(); ++i)
-        run.expect(
-            !run.activeStreams(i), "engine " + std::to_string(i + 1) + " still runs streams whose callers have gone");
+        run.expect(!run.activeStreams(i),
+            "engine " + std::to_string(i + 1) + " still runs streams whose callers have disconnected");
 }
 
-// The demo kills, pauses or stops VMs meanwhile; callers come back to the others.
+// The demo script kills, pauses or stops VMs during the run; callers reconnect to other VMs.
 void runWhileVmsChange(LoadRun& run) { run.runGenerations(run.options().generations); }
 
-// The platform is down for the whole time.
+// The platform is down for the whole run.
 void runPlatformOutage(LoadRun& run)
 {
     run.controlPlatform(R"({"outage_ms": 600000})");
@@ -130,7 +130,7 @@
     run.runGenerations(run.options().generations);
 }
 
-// Every request goes to two VMs at once, half of them marked as not to be repeated; each must run once.
+// Sends every request to two VMs at once, half of the requests marked non-repeatable; each must run exactly once.
 void runDoubleSubmit(LoadRun& run)
 {
     run.startQuickCalls();
@@ -179,7 +179,7 @@
     };
 }
 
-// Wrong requests get clear errors, and the callers beside them notice nothing.
+// Invalid requests get errors that name the field, and concurrent callers are not affected.
 void runBadInput(LoadRun& run)
 {
     run.startQuickCalls();
@@ -205,17 +205,16 @@
 {
     static const std::vector<Scenario> all {
         { "steady", "nothing fails", runSteady },
-        { "engine-death", "an engine's process is killed in the middle of answers", runEngineDeath },
-        { "engine-pause", "engines stand still and come back", runEnginePause },
-        { "engine-storm", "half of the engines die, several times", runEngineStorm },
-        { "caller-gone", "callers leave in the middle of their answers", runCallerGone },
-        { "vm-death", "entry VMs are killed and come back empty", runWhileVmsChange },
-        { "vm-pause", "entry VMs stand still for two seconds and come back", runWhileVmsChange },
-        { "planned-stop", "entry VMs are stopped as planned and started again, one after the other",
-            runWhileVmsChange },
-        { "platform-outage", "the platform is down for the whole time", runPlatformOutage },
+        { "engine-death", "an engine's process is killed while it runs generations", runEngineDeath },
+        { "engine-pause", "engines freeze and then continue", runEnginePause },
+        { "engine-storm", "half of the engines crash, several times", runEngineStorm },
+        { "caller-gone", "callers disconnect in the middle of their generations", runCallerGone },
+        { "vm-death", "entry VMs are killed and restart without state", runWhileVmsChange },
+        { "vm-pause", "entry VMs freeze for two seconds and then continue", runWhileVmsChange },
+        { "planned-stop", "entry VMs are shut down gracefully and restarted, one after the other", runWhileVmsChange },
+        { "platform-outage", "the platform is down for the whole run", runPlatformOutage },
         { "double-submit", "every request goes to two VMs at once", runDoubleSubmit },
-        { "bad-input", "wrong requests beside good ones", runBadInput },
+        { "bad-input", "invalid requests are sent along with valid ones", runBadInput },
     };
     return all;
 }
--- a/src/load/Scenario.h
+++ b/src/load/Scenario.h
@@ -1,4 +1,4 @@
-// The scenarios that the load tool can run.
+// The scenarios of the load tool.
 #pragma once
 
 #include <string>
--- a/src/load/main.cpp
+++ b/src/load/main.cpp
@@ -1,4 +1,4 @@
-// lupinknot-load: drives callers, checks every answer token by token, and reports the measures and the promises.
+// lupinknot-load: runs callers, checks every output token by token, and reports latencies and violations.
 
 #include "common/Log.h"
 #include "common/Version.h"
@@ -26,7 +26,7 @@
     for (const auto& text : texts) {
         const auto address = parseSocketAddress(text);
         if (!address)
-            throw TCLAP::ArgException("expected an IP number and a port, as in 127.0.0.1:8080; found " + text);
+            throw TCLAP::ArgException("expected an IP address and a port, as in 127.0.0.1:8080; found " + text);
         addresses.push_back(*address);
     }
     return addresses;
@@ -43,12 +43,12 @@
 LoadOptions parseOptions(int argc, char** argv)
 {
     using Addresses = TCLAP::MultiArg<std::string>;
-    TCLAP::CmdLine line("Drives callers against lupinknot daemons and checks every answer.", ' ', std::string(version));
+    TCLAP::CmdLine line("Runs callers against lupinknot daemons and checks every output.", ' ', std::string(version));
     auto names = scenarioNames();
     TCLAP::ValuesConstraint<std::string> isScenario(names);
     LoadOptions options;
     TCLAP::UnlabeledValueArg<std::string> scenario(
-        "scenario", "What to run.", false, options.scenario, &isScenario, line);
+        "scenario", "The scenario to run.", false, options.scenario, &isScenario, line);
     Addresses daemons("d", "daemon", "Address of a daemon for callers.", true, "address", line);
     Addresses admins(
         "a", "admin", "Address of the same daemon for operators, in the same order.", true, "address", line);
@@ -58,13 +58,12 @@
     TCLAP::ValueArg<std::size_t> generations(
         "n", "generations", "Generations to run.", false, options.generations, "count", line);
     TCLAP::ValueArg<std::size_t> concurrency(
-        "c", "concurrency", "Generations at one time.", false, options.concurrency, "count", line);
+        "c", "concurrency", "Number of concurrent generations.", false, options.concurrency, "count", line);
     TCLAP::ValueArg<std::size_t> prompt(
         "", "prompt-tokens", "Tokens of each prompt.", false, options.promptTokens, "count", line);
     TCLAP::ValueArg<std::size_t> tokens(
-        "", "max-tokens", "Tokens of each answer.", false, options.maxTokens, "count", line);
-    TCLAP::ValueArg<std::uint64_t> seed(
-        "", "seed", "Seed of everything drawn at random.", false, options.seed, "number", line);
+        "", "max-tokens", "Tokens of each output.", false, options.maxTokens, "count", line);
+    TCLAP::ValueArg<std::uint64_t> seed("", "seed", "Seed of the random numbers.", false, options.seed, "number", line);
     line.parse(argc, argv);
 
     options.scenario = scenario.getValue();
@@ -79,7 +78,7 @@
     const auto callers = parseAddresses(daemons.getValue());
     const auto operators = parseAddresses(admins.getValue());
     if (callers.size() != operators.size())
-        throw TCLAP::ArgException("expected as many --admin as --daemon");
+        throw TCLAP::ArgException("expected one --admin for each --daemon");
     for (std::size_t i = 0; i < callers.size(); ++i)
         options.daemons.push_back({ callers[i], operators[i] });
     return options;
