--- a/src/load/GenerationCaller.cpp
+++ b/src/load/GenerationCaller.cpp
@@ -83,7 +83,8 @@
 // A caller with a key reconnects after a lost connection, after a refusal with 503 as not run, and after a takeover.
 bool GenerationCaller::mayReconnect() const
 {
-    if (m_options.idempotencyKey.empty() || m_result.hasLeft || m_hasDone || m_result.reconnects >= maxReconnects)
+    if (m_options.idempotencyKey.empty() || m_result.hasDisconnected || m_hasDone
+        || m_result.reconnects >= maxReconnects)
         return false;
     const bool isLost = m_result.status == 0 || m_result.status == statusOk;
     const bool isRefused = m_result.status == statusUnavailable && m_result.outcome == "not-run";
@@ -108,7 +109,7 @@
     std::vector<SseEvent> events;
     m_parser.feed(piece, events);
     for (const auto& event : events)
-        takeEvent(event);
+        handleEvent(event);
 }
 
 void GenerationCaller::ended()
@@ -126,7 +127,7 @@
     endPhase();
 }
 
-void GenerationCaller::takeEvent(const SseEvent& event)
+void GenerationCaller::handleEvent(const SseEvent& event)
 {
     if (event.data == "[DONE]") {
         m_hasDone = true;
@@ -143,15 +144,15 @@
         m_hasFinish = true;
         return;
     }
-    takeToken(event.id, { choice["token_ids"][0].get<TokenId>(), choice["text"].get<std::string>() });
+    handleToken(event.id, { choice["token_ids"][0].get<TokenId>(), choice["text"].get<std::string>() });
 }
 
-void GenerationCaller::takeToken(const std::string& id, const Token& token)
+void GenerationCaller::handleToken(const std::string& id, const Token& token)
 {
     const auto colon = id.rfind(':');
     const auto generation = id.substr(0, colon);
     // Another VM that continues the generation appends a suffix to its name.
-    const bool isSameAnswer = baseOf(generation) == baseOf(m_result.generation);
+    const bool isSameGeneration = baseOf(generation) == baseOf(m_result.generation);
     const auto count = std::strtoul(id.c_str() + colon + 1, nullptr, 10);
     if (m_result.generation.empty())
         m_result.generation = generation;
@@ -160,7 +161,7 @@
         return;
     }
     const auto expected = m_expected.next();
-    const bool isExpected = (isSameAnswer || !m_result.delivered) && count == m_result.delivered + 1
+    const bool isExpected = (isSameGeneration || !m_result.delivered) && count == m_result.delivered + 1
         && token.id == expected.id && token.text == expected.text;
     m_result.mixed += isExpected ? 0 : 1;
     m_result.generation = generation;
@@ -173,7 +174,7 @@
     if (m_options.onToken)
         m_options.onToken(m_result.delivered - 1, token);
     if (m_options.leaveAfter == m_result.delivered) {
-        m_result.hasLeft = true;
+        m_result.hasDisconnected = true;
         m_call->cancel();
     }
 }
--- a/src/load/GenerationCaller.h
+++ b/src/load/GenerationCaller.h
@@ -53,9 +53,9 @@
     void connect(std::size_t daemon);
     HttpRequest request() const;
     bool mayReconnect() const;
-    void takeEvent(const SseEvent&);
-    void takeToken(const std::string& id, const Token&);
-    void takeRefusal();
+    void handleEvent(const SseEvent&);
+    void handleToken(const std::string& id, const Token&);
+    void handleRefusal();
     void endPhase();
 
     const LoadOptions& m_load;
--- a/src/load/GenerationResult.h
+++ b/src/load/GenerationResult.h
@@ -22,7 +22,7 @@
     // Time from each reconnect that reached a VM to the next token.
     std::vector<Milliseconds> reconnectWaits;
     // The caller disconnected on purpose.
-    bool hasLeft { false };
+    bool hasDisconnected { false };
     std::string error;
     std::string outcome;
     Milliseconds startedAt { 0 };
--- a/src/load/LoadReport.cpp
+++ b/src/load/LoadReport.cpp
@@ -20,7 +20,7 @@
     return std::round(value * thousandths) / thousandths;
 }
 
-Json threeFigures(const Samples& samples)
+Json quantilesJson(const Samples& samples)
 {
     return { { "n", samples.size() }, { "p50", quantile(samples, median) }, { "p95", quantile(samples, high) },
         { "max", quantile(samples, 1) } };
@@ -37,10 +37,10 @@
     return samples[static_cast<std::size_t>(std::max(rank, 1.0)) - 1];
 }
 
-bool LoadReport::isGood() const
+bool LoadReport::hasPassed() const
 {
-    const bool isExact = whole == requests && !missingTokens && !repeatedTokens && !mixed;
-    return isExact && !doubleRuns && !falseNotRun && !errors && !quickErrors && problems.empty();
+    const bool isCorrect = whole == requests && !missingTokens && !repeatedTokens && !mixed;
+    return isCorrect && !doubleRuns && !falseNotRun && !errors && !quickErrors && problems.empty();
 }
 
 std::string LoadReport::json() const
@@ -48,9 +48,9 @@
     const Json report { { "scenario", scenario }, { "requests", requests }, { "whole", whole },
         { "missing_tokens", missingTokens }, { "repeated_tokens", repeatedTokens }, { "mixed", mixed },
         { "double_runs", doubleRuns }, { "false_not_run", falseNotRun }, { "errors", errors },
-        { "reconnects", reconnects }, { "resume_ms", threeFigures(resume) },
-        { "resume_beyond_engine_ms", threeFigures(resumeBeyondEngine) },
-        { "resume_after_silence_ms", threeFigures(resumeAfterSilence) }, { "reconnect_ms", threeFigures(reconnect) },
+        { "reconnects", reconnects }, { "resume_ms", quantilesJson(resume) },
+        { "resume_beyond_engine_ms", quantilesJson(resumeBeyondEngine) },
+        { "resume_after_silence_ms", quantilesJson(resumeAfterSilence) }, { "reconnect_ms", quantilesJson(reconnect) },
         { "extra_prefill_ratio", rounded(extraPrefillRatio) }, { "extra_decode_ratio", rounded(extraDecodeRatio) },
         { "quick_ms",
             { { "n", quick.size() }, { "p50", quantile(quick, median) }, { "p99", quantile(quick, highest) },
--- a/src/load/LoadReport.h
+++ b/src/load/LoadReport.h
@@ -41,7 +41,7 @@
     std::vector<std::string> problems;
 
     // True if all outputs are complete and correct and there were no double runs, errors or problems.
-    bool isGood() const;
+    bool hasPassed() const;
     std::string json() const;
 };
 
--- a/src/load/LoadRun.cpp
+++ b/src/load/LoadRun.cpp
@@ -84,7 +84,7 @@
 {
     if (m_options.services.empty() || m_quickRunning.exchange(true))
         return;
-    m_quickThread = std::thread([this] { quickLoop(); });
+    m_quickThread = std::thread([this] { quickCallLoop(); });
 }
 
 void LoadRun::stopQuickCalls()
@@ -94,7 +94,7 @@
         m_quickThread.join();
 }
 
-void LoadRun::quickLoop()
+void LoadRun::quickCallLoop()
 {
     for (std::size_t i = 0; m_quickRunning; ++i) {
         const auto workId = "quick-" + std::to_string(i);
@@ -129,7 +129,7 @@
 
 void LoadRun::killEngine(std::size_t engine)
 {
-    takeEngineStats(engine);
+    addEngineStats(engine);
     controlEngine(engine, R"({"die": true})");
 }
 
@@ -175,11 +175,11 @@
         m_report.problems.push_back(problem);
 }
 
-void LoadRun::settle()
+void LoadRun::completeReport()
 {
     stopQuickCalls();
     for (std::size_t i = 0; i < m_options.engines.size(); ++i)
-        takeEngineStats(i);
+        addEngineStats(i);
     for (const auto& result : m_results)
         recordResumptions(result);
     checkServiceRuns();
@@ -204,7 +204,7 @@
     m_report.mixed += result.mixed;
     for (const auto wait : result.reconnectWaits)
         m_report.reconnect.push_back(static_cast<double>(wait.count()));
-    if (result.hasLeft)
+    if (result.hasDisconnected)
         return;
     ++m_report.requests;
     m_report.whole += result.isWhole ? 1 : 0;
@@ -246,7 +246,7 @@
     }
 }
 
-void LoadRun::takeEngineStats(std::size_t engine)
+void LoadRun::addEngineStats(std::size_t engine)
 {
     const auto stats = fetchJson(m_options.engines[engine], "/stats");
     if (!stats)
--- a/src/load/LoadRun.h
+++ b/src/load/LoadRun.h
@@ -59,13 +59,13 @@
     void expect(bool condition, const std::string& problem);
 
     // Completes the report; call it after all generations have ended.
-    void settle();
+    void completeReport();
 
 private:
     void record(const GenerationResult&, std::size_t promptTokens);
     void recordResumptions(const GenerationResult&);
-    void quickLoop();
-    void takeEngineStats(std::size_t engine);
+    void quickCallLoop();
+    void addEngineStats(std::size_t engine);
     void checkServiceRuns();
 
     const LoadOptions& m_options;
--- a/src/load/Scenario.cpp
+++ b/src/load/Scenario.cpp
@@ -51,15 +51,15 @@
 void runEngineDeath(LoadRun& run)
 {
     constexpr std::size_t killAt = 25;
-    constexpr std::size_t storyTokens = 80;
+    constexpr std::size_t longOutputTokens = 80;
     constexpr std::size_t others = 6;
-    std::cerr << "One caller requests a generation of " << storyTokens << " tokens; " << others
+    std::cerr << "One caller requests a generation of " << longOutputTokens << " tokens; " << others
               << " other generations run at the same time.\n\n   ";
     run.startQuickCalls();
     std::thread beside([&run] { run.runGenerations(others); });
     std::thread killer;
     auto caller = run.newCaller();
-    caller.maxTokens = storyTokens;
+    caller.maxTokens = longOutputTokens;
     caller.onToken = [&](std::size_t position, const Token& token) {
         std::cerr << token.text << std::flush;
         if (position + 1 != killAt)
@@ -94,7 +94,7 @@
 void runEngineStorm(LoadRun& run)
 {
     run.startQuickCalls();
-    const Repeater deaths(Milliseconds { 700 }, [&run](std::size_t round) {
+    const Repeater crashes(Milliseconds { 700 }, [&run](std::size_t round) {
         const auto count = run.options().engines.size();
         for (std::size_t i = 0; i < count / 2; ++i)
             run.controlEngine((round + 2 * i) % count, R"({"crash": true, "down_ms": 400})");
--- a/src/load/main.cpp
+++ b/src/load/main.cpp
@@ -16,7 +16,7 @@
 using namespace lupinknot::internal;
 
 constexpr int exitOk = 0;
-constexpr int exitPromiseBroken = 1;
+constexpr int exitCheckFailed = 1;
 constexpr int exitBadOptions = 2;
 constexpr unsigned callThreads = 16;
 
@@ -96,10 +96,10 @@
             if (options.scenario == scenario.name)
                 scenario.run(loadRun);
         }
-        loadRun.settle();
+        loadRun.completeReport();
     }
     std::cout << report.json() << std::endl;
-    return report.isGood() ? exitOk : exitPromiseBroken;
+    return report.hasPassed() ? exitOk : exitCheckFailed;
 }
 
 } // namespace
