--- a/bench/DetectorStudy.cpp
+++ b/bench/DetectorStudy.cpp
@@ -61,9 +61,9 @@
         const auto deathAt = random() % tokensEach;
         for (std::size_t token = 0; token < tokensEach; ++token) {
             if (token == deathAt)
-                waits.push_back(static_cast<double>(detector->patience().count()));
+                waits.push_back(static_cast<double>(detector->silenceTimeout().count()));
             const auto gap = drawGap(noise.engine, random);
-            isAlarmed = isAlarmed || gap >= detector->patience();
+            isAlarmed = isAlarmed || gap >= detector->silenceTimeout();
             detector->observe(gap);
         }
         alarmed += isAlarmed ? 1 : 0;
--- a/src/model/RetryModel.cpp
+++ b/src/model/RetryModel.cpp
@@ -30,7 +30,7 @@
 
     void start(Milliseconds now)
     {
-        settings.retrySlackFrom = now + settings.retryWindow;
+        settings.retrySlackStartsAt = now + settings.retryWindow;
         budget = std::make_unique<RetryBudget>(settings);
         runs.clear();
     }
@@ -131,7 +131,7 @@
         const auto rejectionChance
             = isStoreUnresponsive(second) ? m_scenario.turnedAwayWhileSilent : m_scenario.turnedAwayShare;
         while (chance() < rejectionChance) {
-            if (!retry(vm, RetryPurpose::Rescue, requestedAt))
+            if (!retry(vm, RetryPurpose::Failover, requestedAt))
                 return;
         }
         const auto length = static_cast<int>(m_scenario.runSeconds * ticksInSecond * (0.5 + chance()));
@@ -172,12 +172,12 @@
             (run.zone == zone && chance() < m_scenario.lossShare ? lost : kept).push_back(run);
         vm.runs = std::move(kept);
         for (const auto& run : lost) {
-            if (retry(vm, RetryPurpose::Rescue, run.requestedAt))
+            if (retry(vm, RetryPurpose::Failover, run.requestedAt))
                 send(vm, run.requestedAt, second);
         }
         for (const auto& run : vm.runs) {
             if (chance() < m_scenario.movedShare)
-                retry(vm, RetryPurpose::Precaution, run.requestedAt);
+                retry(vm, RetryPurpose::Proactive, run.requestedAt);
         }
     }
 
--- a/src/model/RolloutModel.cpp
+++ b/src/model/RolloutModel.cpp
@@ -1,6 +1,6 @@
 #include "model/RolloutModel.h"
 
-#include "rollout/RolloutGatherer.h"
+#include "rollout/RolloutAggregator.h"
 
 #include <algorithm>
 #include <memory>
@@ -39,7 +39,7 @@
     std::string name;
     int incarnation { 0 };
     std::unique_ptr<Rollout> rollout;
-    std::unique_ptr<RolloutGatherer> gatherer;
+    std::unique_ptr<RolloutAggregator> aggregator;
     // Killed or paused: the VM neither serves nor communicates before this step.
     int unavailableUntil { 0 };
     // Disconnected: the VM serves, but reaches neither other VMs nor the store before this step.
@@ -125,7 +125,7 @@
         vm.unavailableUntil = until;
         vm.lastFaultEndsAt = until * step;
         vm.rollout.reset();
-        vm.gatherer.reset();
+        vm.aggregator.reset();
         ++vm.incarnation;
         vm.hasBeenKilled = true;
     }
@@ -142,9 +142,9 @@
                 continue;
             const bool isUndivided = m_scenario.planted == PlantedFault::UndividedBudget;
             const auto share = vm.hasBeenKilled ? 0.0 : isUndivided ? 1.0 : 1.0 / m_scenario.vmCount;
-            vm.rollout = std::make_unique<Rollout>(m_order, RolloutTerms { limit, share, vm.name });
+            vm.rollout = std::make_unique<Rollout>(m_order, RolloutParameters { limit, share, vm.name });
             if (i < aggregatorCount)
-                vm.gatherer = std::make_unique<RolloutGatherer>(m_order, now());
+                vm.aggregator = std::make_unique<RolloutAggregator>(m_order, now());
         }
     }
 
@@ -167,7 +167,7 @@
             }
             vm.rollout->noteRequest();
             if (isIsolated(index))
-                vm.rollout->hear(GathererWord::Try, now());
+                vm.rollout->applyDirective(RolloutDirective::Try, now());
             const auto choice = vm.rollout->choose(now());
             const bool isCandidate = choice.rule == VersionChoice::Rule::Only;
             send(index, route, isCandidate ? RunnerVersion::Candidate : RunnerVersion::Present);
@@ -228,14 +228,14 @@
                 || (m_step + static_cast<int>(i)) % stepsBetweenReports != 0)
                 continue;
             for (std::size_t g = 0; g < aggregatorCount; ++g) {
-                auto& gatherer = m_vms[g];
+                auto& aggregator = m_vms[g];
                 const bool isReached
-                    = g == i || (!isDisconnected(vm) && !isDisconnected(gatherer) && !chance(m_callLossShare));
-                if (!gatherer.gatherer || isUnavailable(gatherer) || !isReached)
+                    = g == i || (!isDisconnected(vm) && !isDisconnected(aggregator) && !chance(m_callLossShare));
+                if (!aggregator.aggregator || isUnavailable(aggregator) || !isReached)
                     continue;
                 const auto process = vm.name + "/" + std::to_string(vm.incarnation);
-                gatherer.gatherer->take(process, vm.rollout->evidence(), vm.rollout->isStopped());
-                vm.rollout->hear(gatherer.gatherer->word(now()), now());
+                aggregator.aggregator->addReport(process, vm.rollout->evidence(), vm.rollout->isStopped());
+                vm.rollout->applyDirective(aggregator.aggregator->directive(now()), now());
             }
         }
     }
@@ -244,16 +244,16 @@
     {
         for (std::size_t g = 0; g < aggregatorCount; ++g) {
             auto& vm = m_vms[g];
-            if (!vm.gatherer || isUnavailable(vm) || isDisconnected(vm) || isStoreUnreachable())
+            if (!vm.aggregator || isUnavailable(vm) || isDisconnected(vm) || isStoreUnreachable())
                 continue;
-            const auto wanted = vm.gatherer->wanted(now());
-            if (!wanted || m_decision == *wanted)
+            const auto dueDecision = vm.aggregator->dueDecision(now());
+            if (!dueDecision || m_decision == *dueDecision)
                 continue;
             if (m_decision != RolloutDecision::Undecided && m_scenario.planted != PlantedFault::DecisionTurns)
                 continue;
             if (m_decision != RolloutDecision::Undecided)
                 violate("a recorded decision was overwritten by the opposite one");
-            m_decision = *wanted;
+            m_decision = *dueDecision;
             m_decidedAt = now();
         }
     }
