--- a/src/load/LoadRun.cpp
+++ b/src/load/LoadRun.cpp
@@ -84,7 +84,7 @@
 {
     if (m_options.services.empty() || m_quickRunning.exchange(true))
         return;
-    m_quickThread = std::thread([this] { quickLoop(); });
+    m_quickThread = std::thread([this] { quickCallLoop(); });
 }
 
 void LoadRun::stopQuickCalls()
@@ -94,7 +94,7 @@
         m_quickThread.join();
 }
 
-void LoadRun::quickLoop()
+void LoadRun::quickCallLoop()
 {
     for (std::size_t i = 0; m_quickRunning; ++i) {
         const auto workId = "quick-" + std::to_string(i);
@@ -123,13 +123,13 @@
 bool LoadRun::controlPlatform(const std::string& text)
 {
     const bool isDone = !m_options.platforms.empty() && control(m_options.platforms.front(), text);
-    expect(isDone, "the platform took no control call");
+    expect(isDone, "the platform stand-in did not accept the control call");
     return isDone;
 }
 
 void LoadRun::killEngine(std::size_t engine)
 {
-    takeEngineStats(engine);
+    addEngineStats(engine);
     controlEngine(engine, R"({"die": true})");
 }
 
@@ -166,7 +166,7 @@
 void LoadRun::expectEngineRuns(std::size_t requests, std::size_t needed)
 {
     m_report.doubleRuns += requests > needed ? requests - needed : 0;
-    expect(requests >= needed, "fewer runs than requests: " + std::to_string(requests));
+    expect(requests >= needed, "engines received fewer requests than needed: " + std::to_string(requests));
 }
 
 void LoadRun::expect(bool condition, const std::string& problem)
@@ -175,11 +175,11 @@
         m_report.problems.push_back(problem);
 }
 
-void LoadRun::settle()
+void LoadRun::completeReport()
 {
     stopQuickCalls();
     for (std::size_t i = 0; i < m_options.engines.size(); ++i)
-        takeEngineStats(i);
+        addEngineStats(i);
     for (const auto& result : m_results)
         recordResumptions(result);
     checkServiceRuns();
@@ -194,7 +194,7 @@
 {
     const std::lock_guard lock(m_mutex);
     m_results.push_back(result);
-    // Two callers with one key share one run.
+    // Two callers with the same key share one generation.
     const auto base = result.generation.substr(0, result.generation.find('~'));
     const bool isShared = !base.empty() && !m_generations.insert(base).second;
     m_promptTokens += isShared ? 0 : promptTokens;
@@ -204,7 +204,7 @@
     m_report.mixed += result.mixed;
     for (const auto wait : result.reconnectWaits)
         m_report.reconnect.push_back(static_cast<double>(wait.count()));
-    if (result.hasLeft)
+    if (result.hasDisconnected)
         return;
     ++m_report.requests;
     m_report.whole += result.isWhole ? 1 : 0;
@@ -215,7 +215,7 @@
     }
 }
 
-// Asks the VM that ran a generation where its attempts changed, and takes the caller's own wait at those positions.
+// Reads the positions at which the generation changed attempts from its VM, and records the caller's waits there.
 void LoadRun::recordResumptions(const GenerationResult& result)
 {
     const auto described
@@ -234,8 +234,8 @@
                 m_report.resumeAfterSilence.push_back(wait);
             const auto work
                 = m_totals.byRequest.find(result.generation + ":" + std::to_string(attempt["number"].get<unsigned>()));
-            // Where an attempt before this one was lost without a token, its engine's time would have to be taken off
-            // too.
+            // If the previous attempt was lost without a token, its engine's time would have to be subtracted too, so
+            // this sample is skipped.
             const bool isSingleLoss = position > lastPosition;
             if (isSingleLoss && lastFailure != "silent" && work != m_totals.byRequest.end())
                 m_report.resumeBeyondEngine.push_back(
@@ -246,7 +246,7 @@
     }
 }
 
-void LoadRun::takeEngineStats(std::size_t engine)
+void LoadRun::addEngineStats(std::size_t engine)
 {
     const auto stats = fetchJson(m_options.engines[engine], "/stats");
     if (!stats)
@@ -258,7 +258,7 @@
         m_totals.byRequest[entry.key()].firstTokenMs = entry.value()["first_token_ms"].get<double>();
 }
 
-// No call that must not be repeated ran twice, and none that was refused as not run ran at all.
+// Counts non-repeatable calls that ran more than once, and calls that ran although they were refused as not run.
 void LoadRun::checkServiceRuns()
 {
     std::map<std::string, std::size_t> runs;
--- a/src/standin/EngineStandIn.cpp
+++ b/src/standin/EngineStandIn.cpp
@@ -22,7 +22,7 @@
 
 HttpResponse jsonResponse(const json& body) { return { 200, { { "Content-Type", "application/json" } }, body.dump() }; }
 
-HttpResponse refusal(unsigned status, const std::string& code, const std::string& message)
+HttpResponse jsonError(unsigned status, const std::string& code, const std::string& message)
 {
     return errorResponse({ status, code, message, "", status == 503 ? RunOutcome::NotRun : RunOutcome::Unknown, {} });
 }
@@ -59,9 +59,9 @@
 EngineStandIn::~EngineStandIn()
 {
     m_server.stop();
-    // Streams hold connections of the server's io_context, which goes before the members above it.
+    // Streams hold connections of the server's io_context, which is destroyed before the members declared above it.
     m_streams.clear();
-    m_kept.clear();
+    m_attachableStreams.clear();
 }
 
 std::optional<std::string> EngineStandIn::start()
@@ -92,7 +92,7 @@
         dispatch(exchange);
         return;
     }
-    // A paused process answers nothing; the system holds what has been sent to it.
+    // A paused process does not respond; the operating system buffers the data sent to it.
     const auto timer = std::make_shared<boost::asio::steady_timer>(m_server.ioContext(), wait);
     timer->async_wait([this, exchange, timer](boost::system::error_code error) {
         if (!error)
@@ -121,9 +121,9 @@
     else if (request.method == "GET" && path == "/stats")
         exchange->respond(stats());
     else if (request.method == "POST" && path == "/control")
-        exchange->respond(controlled(request.body));
+        exchange->respond(handleControl(request.body));
     else
-        exchange->respond(refusal(404, "not_found", "nothing is here"));
+        exchange->respond(jsonError(404, "not_found", "nothing is here"));
 }
 
 void EngineStandIn::complete(const std::shared_ptr<HttpExchange>& exchange)
@@ -132,11 +132,11 @@
     const std::lock_guard lock(m_mutex);
     const bool isFull = m_streams.size() >= static_cast<std::size_t>(m_settings.maxBatch + m_settings.maxQueue);
     if (m_faults.refusesWork || isFull)
-        exchange->respond(refusal(503, "overloaded", "the engine takes no more work"));
+        exchange->respond(jsonError(503, "overloaded", "the engine takes no more work"));
     else if (m_faults.failsWork)
-        exchange->respond(refusal(500, "failed", "the engine has failed"));
+        exchange->respond(jsonError(500, "failed", "the engine has failed"));
     else if (!request || request->model != m_settings.model)
-        exchange->respond(refusal(400, "bad_request", "the request cannot be read, or the model is not served"));
+        exchange->respond(jsonError(400, "bad_request", "the request cannot be read, or the model is not served"));
     else
         admit(exchange, std::move(*request));
 }
@@ -158,15 +158,15 @@
 
     const auto stream = std::make_shared<EngineStream>(std::move(request), m_prefillFreeAt);
     m_streams.push_back(stream);
-    if (stream->request().keepOnDisconnect > Milliseconds::zero() && m_kept.size() < maxKept)
-        m_kept[stream->request().id] = stream;
+    if (stream->request().keepOnDisconnect > Milliseconds::zero() && m_attachableStreams.size() < maxKept)
+        m_attachableStreams[stream->request().id] = stream;
     attach(stream, exchange, 0);
 }
 
 void EngineStandIn::attach(
     const std::shared_ptr<EngineStream>& stream, const std::shared_ptr<HttpExchange>& exchange, std::size_t position)
 {
-    exchange->onPeerDisconnected([this, stream, raw = exchange.get()] { connectionGone(stream, *raw); });
+    exchange->onPeerDisconnected([this, stream, raw = exchange.get()] { handleDisconnect(stream, *raw); });
     stream->attach(exchange, position);
 }
 
@@ -176,9 +176,9 @@
     const auto from = target.find("?from=");
     const auto position = from == std::string::npos ? 0 : std::strtoul(target.c_str() + from + 6, nullptr, 10);
     const std::lock_guard lock(m_mutex);
-    const auto entry = m_kept.find(streamIdOf(exchange->request()));
-    if (entry == m_kept.end() || position > entry->second->producedCount()) {
-        exchange->respond(refusal(404, "no_stream", "no such stream, or not that far"));
+    const auto entry = m_attachableStreams.find(streamIdOf(exchange->request()));
+    if (entry == m_attachableStreams.end() || position > entry->second->generatedCount()) {
+        exchange->respond(jsonError(404, "no_stream", "no such stream, or not that far"));
         return;
     }
     attach(entry->second, exchange, position);
@@ -192,11 +192,11 @@
     const auto stream = std::find_if(m_streams.begin(), m_streams.end(), hasId);
     if (stream != m_streams.end())
         cancel(std::shared_ptr<EngineStream>(*stream));
-    m_kept.erase(id);
+    m_attachableStreams.erase(id);
     exchange->respond(jsonResponse({ { "cancelled", id } }));
 }
 
-void EngineStandIn::connectionGone(const std::shared_ptr<EngineStream>& stream, const HttpExchange& exchange)
+void EngineStandIn::handleDisconnect(const std::shared_ptr<EngineStream>& stream, const HttpExchange& exchange)
 {
     const std::lock_guard lock(m_mutex);
     if (!stream->detach(exchange))
@@ -218,7 +218,7 @@
 
 void EngineStandIn::cancel(const std::shared_ptr<EngineStream>& stream)
 {
-    m_kept.erase(stream->request().id);
+    m_attachableStreams.erase(stream->request().id);
     const auto entry = std::find(m_streams.begin(), m_streams.end(), stream);
     if (entry == m_streams.end())
         return;
@@ -229,7 +229,7 @@
 HttpResponse EngineStandIn::load() const
 {
     const std::lock_guard lock(m_mutex);
-    // The newest sample that is old enough.
+    // The newest sample that is at least as old as the load lag.
     const auto horizon = m_clock.now() - m_settings.loadLag;
     std::size_t active = 0;
     for (const auto& sample : m_loadSamples) {
@@ -252,11 +252,11 @@
         { "decoded_tokens", m_work.decodedTokens }, { "cancelled", m_work.cancelled }, { "by_request", requests } });
 }
 
-HttpResponse EngineStandIn::controlled(const std::string& text)
+HttpResponse EngineStandIn::handleControl(const std::string& text)
 {
     if (control(text))
         return jsonResponse({ { "ok", true } });
-    return refusal(400, "bad_control", "the control call cannot be read");
+    return jsonError(400, "bad_control", "the control call cannot be read");
 }
 
 bool EngineStandIn::control(const std::string& text)
@@ -279,7 +279,7 @@
     m_faults.refusesWork = body.value("refuse", m_faults.refusesWork);
     m_faults.failsWork = body.value("fail", m_faults.failsWork);
     m_faults.slowFactor = body.value("slow", m_faults.slowFactor);
-    // The process ends at once, as by a kill.
+    // Ends the process at once, as SIGKILL does.
     if (body.value("die", false))
         std::_Exit(exitKilled);
     if (body.value("crash", false))
@@ -331,7 +331,7 @@
 
 void EngineStandIn::stepStream(EngineStream& stream)
 {
-    strike(stream);
+    injectDueFaults(stream);
     if (stream.isComplete() || m_streams.empty() || m_clock.now() < m_pausedUntil)
         return;
     stream.step();
@@ -342,21 +342,21 @@
     ++work.decodedTokens;
 }
 
-// Shows the faults that are due at the stream's number of tokens.
-void EngineStandIn::strike(EngineStream& stream)
+// Injects the faults that are due at the stream's number of tokens.
+void EngineStandIn::injectDueFaults(EngineStream& stream)
 {
     const auto isDue = [&stream](std::optional<std::size_t>& at) {
-        const bool due = at && *at <= stream.producedCount();
+        const bool due = at && *at <= stream.generatedCount();
         if (due)
             at.reset();
         return due;
     };
     if (isDue(m_faults.skipAt))
-        stream.skipOne();
+        stream.omitNextToken();
     if (isDue(m_faults.endEarlyAt))
-        stream.breakOff("");
+        stream.endWithFault("");
     if (isDue(m_faults.malformedAt))
-        stream.breakOff("data: {not json\n\n");
+        stream.endWithFault("data: {not json\n\n");
     if (isDue(m_faults.pauseAt))
         pause(m_faults.pauseTime);
     if (isDue(m_faults.crashAt))
@@ -366,7 +366,7 @@
 void EngineStandIn::crash()
 {
     m_streams.clear();
-    m_kept.clear();
+    m_attachableStreams.clear();
     m_cache.clear();
     m_prefillFreeAt = Milliseconds { 0 };
     m_server.crash(m_faults.downTime);
@@ -374,7 +374,7 @@
 
 void EngineStandIn::pause(Milliseconds time) { m_pausedUntil = m_clock.now() + time; }
 
-// The streams of one step: the most urgent first, as many as fit.
+// The streams of one step, most urgent first, up to the batch size.
 EngineStandIn::Streams EngineStandIn::batch() const
 {
     auto streams = m_streams;
--- a/test/LimitModelTest.cpp
+++ b/test/LimitModelTest.cpp
@@ -1,11 +1,13 @@
-// An endpoint's limit on simulated fleets of 3 to 300 VMs whose VMs are killed, paused and cut off, while the limit
-// falls, rises, ends and comes back and the endpoint starts again.
+// Keeps one endpoint's limit on simulated fleets of 3 to 300 VMs, while VMs are killed, paused and disconnected, the
+// limit falls, rises, ends and returns, and the endpoint restarts.
 //
-// Seeds that have shown a fault stay here: 35 and 155 (a VM that counts is killed again and again, and each of its
-// starts lets a burst through), 154 (all three VMs that count are cut off together: 65 others count alone and each
-// sends one at once), 1270 and 1511 (the limit falls to nothing while permits are out and VMs that count start again),
-// 2478, 4215 and 7479 (a VM that counts starts again or has stood still, and the first to ask has heard the old limit
-// long ago), 6799 (a limit of 400 a second falls to nothing: what was under way is allowed).
+// Seeds that showed a fault stay in the tests:
+// - 35, 155: a limit keeper is killed repeatedly, and each of its starts allows a burst.
+// - 154: all three limit keepers are disconnected together; 65 other VMs count alone and each sends one request at
+// once.
+// - 1270, 1511: the limit falls to 0 while permits are outstanding and limit keepers restart.
+// - 2478, 4215, 7479: a limit keeper restarts or was frozen, and the first VM to ask knows an outdated limit.
+// - 6799: a limit of 400 per second falls to 0; requests already on their way are allowed.
 #include "model/LimitModel.h"
 
 #include <string>
@@ -19,7 +21,7 @@
     static constexpr std::array<std::size_t, 4> vmCounts { 3, 7, 88, 300 };
     static constexpr std::array<double, 5> limits { 0.2, 1, 2.3, 20, 200 };
 
-    static LimitPlay playOf(std::uint64_t seed)
+    static LimitPlay scenarioOf(std::uint64_t seed)
     {
         return { .vmCount = vmCounts.at(seed % vmCounts.size()),
             .perSecond = limits.at(seed / vmCounts.size() % limits.size()),
@@ -27,35 +29,35 @@
             .seed = seed };
     }
 
-    static void checkKept(std::uint64_t seed)
+    static void checkLimitKept(std::uint64_t seed)
     {
-        const auto outcome = playLimit(playOf(seed));
+        const auto outcome = playLimit(scenarioOf(seed));
         CHECK_TEXT(outcome.worstExcess <= 0, ("seed " + std::to_string(seed)).c_str());
     }
 
-    // How many of the plays show that the promise was broken.
-    static int brokenPlays(PlantedLimitFault planted, std::uint64_t count)
+    // The number of simulations in which the limit was exceeded.
+    static int countViolations(PlantedLimitFault planted, std::uint64_t count)
     {
-        int broken = 0;
+        int violations = 0;
         for (std::uint64_t seed = 1; seed <= count; ++seed) {
-            auto play = playOf(seed);
-            play.planted = planted;
-            broken += playLimit(play).worstExcess > 0;
+            auto scenario = scenarioOf(seed);
+            scenario.planted = planted;
+            violations += playLimit(scenario).worstExcess > 0;
         }
-        return broken;
+        return violations;
     }
 };
 
-TEST(LimitModel, KeepsTheLimitThroughTroubleInPlaysOfAllSizes)
+TEST(LimitModel, KeepsTheLimitUnderFaultsOnFleetsOfAllSizes)
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed)
-        checkKept(seed);
+        checkLimitKept(seed);
     for (const auto seed : { 454, 674, 995, 1270, 1390, 1431, 1511, 1539, 1582, 2478, 4215, 6799, 7479 })
-        checkKept(static_cast<std::uint64_t>(seed));
+        checkLimitKept(static_cast<std::uint64_t>(seed));
 }
 
-// The endpoint is used to nine tenths of what it allows, within what one request more or less makes out.
-TEST(LimitModel, UsesTheLimitWhereverTheRequestsCome)
+// VMs use at least nine tenths of the limit, whichever of them receive the requests.
+TEST(LimitModel, UsesTheLimitWhicheverVmsReceiveTheRequests)
 {
     for (const auto vms : vmCounts) {
         for (const bool isUneven : { false, true }) {
@@ -66,9 +68,9 @@
     }
 }
 
-TEST(LimitModel, FindsThePlantedFaults)
+TEST(LimitModel, DetectsInjectedFaults)
 {
     for (const auto planted :
         { PlantedLimitFault::WholeSubstitutes, PlantedLimitFault::KeepsOldLimit, PlantedLimitFault::EachCounts })
-        CHECK_TEXT(brokenPlays(planted, 200) > 0, std::to_string(static_cast<int>(planted)).c_str());
+        CHECK_TEXT(countViolations(planted, 200) > 0, std::to_string(static_cast<int>(planted)).c_str());
 }
