--- a/test/SoakPartsTest.cpp
+++ b/test/SoakPartsTest.cpp
@@ -32,7 +32,8 @@
 {
     boost::asio::io_context ioContext;
 
-    // What the proxy's caller has got once the endpoint has seen its request and answered; at most two hundred turns.
+    // What the caller behind the proxy has received once the endpoint has answered its request, or after at most 200
+    // turns of the io_context.
     std::string answerThrough(LinkMode mode)
     {
         ScriptedEndpoint endpoint(ioContext);
