--- a/test/RunUntil.h
+++ b/test/RunUntil.h
@@ -1,4 +1,4 @@
-// Runs an io_context until something has come true, for tests that drive code of one thread.
+// Runs an io_context until a condition holds, for tests of code that runs on one thread.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -7,8 +7,8 @@
 
 namespace lupinknot::internal {
 
-// Returns false when the condition has not come true for very long: far longer than anything in the tests takes, so it
-// is reached only by a test that fails.
+// Returns false on a timeout that is far longer than anything in the tests takes, so that only a failing test reaches
+// it.
 inline bool runUntil(boost::asio::io_context& ioContext, const std::function<bool()>& condition)
 {
     constexpr std::chrono::seconds patience { 20 };
--- a/test/main.cpp
+++ b/test/main.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Prints the closing line that CI reads, behind CppUTest's own summary.
+// Prints the last line that CI reads, after CppUTest's own summary.
 class SummaryOutput : public ConsoleTestOutput {
 public:
     void printTestsEnded(const TestResult& result) override
@@ -32,7 +32,7 @@
     TestOutput* createConsoleOutput() override { return new SummaryOutput; }
 };
 
-// Takes tests out of the registry, by GROUP.NAME. Returns those names that no test has.
+// Removes tests from the registry by GROUP.NAME. Returns the names that match no test.
 std::set<std::string> passOver(TestRegistry& registry, std::set<std::string> names)
 {
     std::vector<UtestShell*> kept;
@@ -48,7 +48,7 @@
 
 } // namespace
 
-// Beside CppUTest's options: --pass-over GROUP.NAME, as often as needed.
+// Accepts CppUTest's options and --pass-over GROUP.NAME, which skips a test and may be repeated.
 int main(int argc, char** argv)
 {
     std::vector<const char*> options;
@@ -63,8 +63,7 @@
         std::cerr << "no test is named " << name << ", which is to be passed over" << std::endl;
         return 2;
     }
-    // The leak detector keeps its books without a lock, and the tests run threads; leaks are found by the build with
-    // AddressSanitizer instead.
+    // CppUTest's leak detector has no lock and the tests run threads; the AddressSanitizer build finds leaks instead.
     MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
     lupinknot::internal::initializeLog(lupinknot::internal::LogLevel::Error);
     SummaryRunner runner(static_cast<int>(options.size()), options.data(), TestRegistry::getCurrentRegistry());
