--- a/bench/DetectorStudy.cpp
+++ b/bench/DetectorStudy.cpp
@@ -1,7 +1,7 @@
-// Compares the silence detectors on gaps with the stand-in engine's noise, without any waiting: the gaps are drawn.
+// Compares the silence detectors on simulated gaps between tokens that have the stand-in engine's noise.
 //
-// For each detector it prints how often a sound endpoint is suspected (false alarms) and how long a caller waits for a
-// dead one. The seed is fixed, so every run prints the same table. docs/DETECTORS.md keeps it.
+// For each detector it prints how often a healthy endpoint is suspected (false alarms) and how long a caller waits
+// until a dead one is. The seed is fixed, so each run prints the same table, which docs/DETECTORS.md contains.
 
 #include "lupinknot/SilenceDetector.h"
 #include "standin/EngineStandInSettings.h"
@@ -34,7 +34,7 @@
 
 struct Finding {
     double falseAlarmPart { 0 };
-    // From the last token before the death to the suspicion, in milliseconds.
+    // Milliseconds from the last token of a dead endpoint until it is suspected.
     double waitMedian { 0 };
     double waitHigh { 0 };
 };
@@ -49,7 +49,8 @@
     return Milliseconds { std::llround(gap) };
 }
 
-// Every generation runs to its end for the false alarms, and dies at a random token for the wait.
+// Each generation is simulated to its end to count false alarms. The wait is taken at one random token, as if the
+// endpoint died there.
 Finding study(const Noise& noise, const Candidate& candidate)
 {
     std::mt19937_64 random(seed);
--- a/bench/FootprintStudy.cpp
+++ b/bench/FootprintStudy.cpp
@@ -1,6 +1,7 @@
-// Memory of what a daemon holds, as slopes: bytes for each connection, generation, held token and endpoint.
+// Measures the memory that a daemon needs for each connection, generation, held token and endpoint, in bytes.
 //
-// Each slope is the allocator's count of used bytes between a smaller and a larger number of the same things.
+// Each figure is the growth of the allocator's used bytes while many objects of a kind are created, divided by their
+// number.
 
 #include "common/Log.h"
 #include "daemon/Daemon.h"
--- a/bench/JournalStudy.cpp
+++ b/bench/JournalStudy.cpp
@@ -1,9 +1,9 @@
-// What the journal costs, against its flush interval: latency added to a token, bytes between VMs, processor time.
+// Measures the cost of the journal by flush interval: latency added to a token, bytes between VMs, processor time.
 //
-// Two daemons, one engine whose steps come evenly, 30 streams at about 1,000 tokens a second. Each stream with a key
-// has a twin without one, which is not journaled; both get their tokens from the same steps of the engine, so the
-// difference of their arrivals is what the journal adds. A second run with twins alone gives the processor time without
-// a journal.
+// Two daemons, one engine with steps of equal length, 30 journaled streams at about 1,000 tokens a second. Each stream
+// with an idempotency key has a twin without one, which is not journaled. Both get their tokens from the same steps of
+// the engine, so the difference of their arrival times is the latency that the journal adds. A run without any key
+// gives the processor time without a journal.
 
 #include "common/Log.h"
 #include "daemon/Daemon.h"
@@ -49,7 +49,7 @@
     return acceptor.local_endpoint().port();
 }
 
-// Notes when each token arrives.
+// Records the arrival time of each token.
 class ArrivalListener final : public HttpCallListener {
 public:
     void headArrived(unsigned, const HttpHeaders&) override { }
@@ -148,7 +148,7 @@
         return listener;
     }
 
-    // The twins may be a whole number of steps apart, because they were admitted one after the other.
+    // Whole steps are subtracted: the engine admits the twins one after the other, possibly in different steps.
     static void compare(
         const std::vector<Microseconds>& keyed, const std::vector<Microseconds>& twin, std::vector<double>& added)
     {
--- a/bench/LimitStudy.cpp
+++ b/bench/LimitStudy.cpp
@@ -1,6 +1,9 @@
-// Compares the ways in which VMs keep to an endpoint's limit that is meant for all of them, on simulated fleets.
+// Compares, on simulated fleets, how VMs can enforce an endpoint's limit that applies to all of them together.
 //
-//     LimitStudy [PLAYS]      # A table without trouble for each way, then so many plays with trouble of the kept way.
+//     LimitStudy [SCENARIOS]
+//
+// Prints a table without faults for each way of enforcement and one with faults for the way in use, then simulates this
+// many scenarios with faults (1,000 by default) and lists those that exceed the limit.
 #include "model/LimitModel.h"
 
 #include <algorithm>
@@ -20,7 +23,7 @@
 
 void printWay(LimitWay way, bool hasTrouble)
 {
-    std::printf("\n%s, %s trouble: worst four seconds as a share of what is allowed / use / calls a second\n",
+    std::printf("\n%s, %s faults: worst four seconds as a share of the allowed requests / use / calls a second\n",
         std::string(nameIn(limitWayNames, way)).c_str(), hasTrouble ? "with" : "without");
     std::printf("%8s %10s", "a second", "demand");
     for (const auto vms : vmCounts)
@@ -61,11 +64,11 @@
         worst = std::max(worst, outcome.worstShare);
         if (outcome.worstExcess > 0) {
             ++broken;
-            std::printf(
-                "seed %llu: %.1f beyond what is allowed\n", static_cast<unsigned long long>(seed), outcome.worstExcess);
+            std::printf("seed %llu: %.1f requests more than allowed\n", static_cast<unsigned long long>(seed),
+                outcome.worstExcess);
         }
     }
-    std::printf("%llu plays with trouble: %llu over the bound, the worst four seconds %.2f of it\n",
+    std::printf("%llu scenarios with faults: %llu over the bound, the worst four seconds %.2f of it\n",
         static_cast<unsigned long long>(count), static_cast<unsigned long long>(broken), worst);
 }
 
--- a/bench/ListenerBenchmark.cpp
+++ b/bench/ListenerBenchmark.cpp
@@ -1,6 +1,6 @@
-// Processor time of one streamed token, one flush each: cpprestsdk's listener against the project's HttpServer.
+// Measures the processor time of a streamed token with one flush each: cpprestsdk's listener against HttpServer.
 //
-// Readers are bare sockets, the same for both. docs/LISTENER.md keeps the figures and the choice.
+// Both are read through plain sockets. docs/LISTENER.md has the figures and the choice between the two.
 
 #include "common/ByteSizes.h"
 #include "common/Log.h"
@@ -34,7 +34,7 @@
     return acceptor.local_endpoint().port();
 }
 
-// Asks for a stream and reads it to the end of the connection.
+// Requests a stream and reads until the connection ends. Returns the number of bytes.
 std::size_t readStream(unsigned short port)
 {
     boost::asio::io_context ioContext;
@@ -64,7 +64,7 @@
         static_cast<std::int64_t>(static_cast<std::size_t>(state.iterations()) * streams * tokensEach));
 }
 
-// One token a flush.
+// Produces one token for each flush.
 class TokenSource final : public HttpBodySource {
 public:
     HttpBodyPiece next() override { return { token, ++m_sent == tokensEach }; }
--- a/bench/PlacementBenchmark.cpp
+++ b/bench/PlacementBenchmark.cpp
@@ -1,4 +1,4 @@
-// Processor time of choosing an endpoint among those of a service, where none names a limit.
+// Measures the processor time of choosing an endpoint of a service when no endpoint states a limit.
 #include "relay/EndpointDirectory.h"
 #include "relay/Placement.h"
 #include "relay/RelaySettings.h"
--- a/bench/RelayBenchmark.cpp
+++ b/bench/RelayBenchmark.cpp
@@ -1,7 +1,7 @@
-// Processor time of one relayed token: the daemon against a bare pass-through made of the same libraries.
+// Measures the processor time of a relayed token: the daemon against a plain proxy that uses the same libraries.
 //
-// Both stand between the same engine and the same callers, in this one process; a third run without anything between
-// gives what engine and callers cost themselves. `--benchmark_format=json` and scripts/bench compare the difference.
+// Both relay between the same engine and the same callers in this process. A third run without a relay gives the cost
+// of engine and callers, which scripts/bench subtracts from both (with `--benchmark_format=json`).
 
 #include "common/Log.h"
 #include "daemon/Daemon.h"
@@ -34,7 +34,7 @@
     return settings;
 }
 
-// Passes bytes on as they come, and looks at none of them.
+// Forwards bytes as they arrive, without parsing them.
 class BareRelay final : public HttpCallListener, public HttpBodySource, public std::enable_shared_from_this<BareRelay> {
 public:
     explicit BareRelay(std::shared_ptr<HttpExchange> exchange)
@@ -111,7 +111,7 @@
     std::vector<std::thread> m_threads;
 };
 
-// Counts what comes back and looks no closer, so that the callers cost the same in every run.
+// Waits for the end of the response and ignores its content, so that the callers cost the same in each run.
 class CountingListener final : public HttpCallListener {
 public:
     void headArrived(unsigned, const HttpHeaders&) override { }
--- a/bench/RetryBudgetStudy.cpp
+++ b/bench/RetryBudgetStudy.cpp
@@ -1,6 +1,9 @@
-// Plays simulated fleets and counts those whose retries exceed the budget that all VMs share.
+// Simulates fleets and counts those whose retries exceed the budget that all VMs share.
 //
-//     RetryBudgetStudy [PLAYS [FIRST]]       # So many plays of the usual sequence from the first on; 10,000 from 1.
+//     RetryBudgetStudy [SCENARIOS [FIRST]]   # Number of scenarios, 10,000 by default, from seed FIRST on, 1 by
+//     default.
+//
+// The exit code is 1 when a scenario exceeds the budget.
 #include "model/RetryModel.h"
 
 #include <algorithm>
@@ -28,10 +31,10 @@
         if (outcome.greatestExcess <= 0)
             continue;
         ++exceeded;
-        std::printf("seed %llu: %d VMs, %.0f requests a second, %.0f retries beyond the budget\n",
+        std::printf("seed %llu: %d VMs, %.0f requests a second, %.0f retries over the budget\n",
             static_cast<unsigned long long>(play.seed), play.vmCount, play.requestsPerSecond, outcome.greatestExcess);
     }
-    std::printf("%llu of %llu plays exceed the budget, worst %.0f, %ld retries sent, %ld denied\n",
+    std::printf("%llu of %llu scenarios exceed the budget, worst %.0f, %ld retries sent, %ld denied\n",
         static_cast<unsigned long long>(exceeded), static_cast<unsigned long long>(plays), worst, retries, denied);
     return exceeded == 0 ? 0 : 1;
 }
--- a/bench/RolloutStudy.cpp
+++ b/bench/RolloutStudy.cpp
@@ -1,6 +1,7 @@
-// Plays many roll-outs on the model and prints, for each fault of a candidate and each traffic, how many went wrong.
+// Simulates many rollouts and prints, for each fault of a candidate version and each request rate, how many were
+// decided wrongly.
 //
-//     RolloutStudy [plays a row] [VMs] [first seed]
+//     RolloutStudy [SCENARIOS_PER_ROW [VMS [FIRST_SEED]]]
 
 #include "model/RolloutModel.h"
 
@@ -59,8 +60,8 @@
     const int count = argc > 1 ? std::atoi(argv[1]) : 200;
     const int vmCount = argc > 2 ? std::atoi(argv[2]) : 90;
     const auto firstSeed = static_cast<unsigned>(argc > 3 ? std::atoi(argv[3]) : 1);
-    std::printf("%-24s %8s %6s %9s %7s %6s %13s %13s %14s\n", "candidate", "req/s", "plays", "wrong", "undec.",
-        "broken", "exposed% p99", "after50 ms p99", "decided ms p50");
+    std::printf("%-24s %8s %6s %9s %7s %6s %13s %13s %14s\n", "candidate", "req/s", "runs", "wrong", "undec.", "broken",
+        "exposed% p99", "after50 ms p99", "decided ms p50");
     for (const auto& fault : versionFaultNames) {
         for (const double rate : { 10.0, 46.0, 100.0, 400.0, 1500.0 }) {
             RolloutPlay play { .vmCount = vmCount, .requestsPerSecond = rate, .fault = fault.value };
--- a/samples/ResumeOnLoss.cpp
+++ b/samples/ResumeOnLoss.cpp
@@ -1,6 +1,7 @@
-// A generation that goes on after its engine is lost, in one page and without any network.
+// Sample: a generation continues on another engine after its engine is lost.
 //
-// The program plays the engines itself: it tells the driver what "happened", and sees what the driver asks for.
+// There is no network. The program simulates the engines: it reports their tokens and failures to the driver and prints
+// what the driver requests.
 
 #include "lupinknot/GenerationDriver.h"
 #include "lupinknot/ManualClock.h"
@@ -48,7 +49,7 @@
     clock.advance(Milliseconds { 30 });
     driver.attemptFailed(1, FailureKind::ConnectionLost, clock.now());
 
-    // The lost engine wakes up; its token is refused.
+    // A late token of the lost engine arrives; the driver rejects it.
     driver.tokenArrived(1, 2, { 99, " ERROR" }, clock.now());
 
     driver.tokenArrived(2, 2, { 12, " become" }, clock.now());
