--- a/test/SoakPartsTest.cpp
+++ b/test/SoakPartsTest.cpp
@@ -11,21 +11,21 @@
 
 TEST_GROUP(DisturbanceLog) {};
 
-TEST(DisturbanceLog, AnOpenDisturbanceTouchesAllThatComesAfterIt)
+TEST(DisturbanceLog, AnOpenDisturbanceOverlapsAnyLaterPeriod)
 {
     DisturbanceLog log;
     log.begin(Milliseconds { 100 });
-    CHECK(log.touches(Milliseconds { 500 }, Milliseconds { 600 }));
-    CHECK_FALSE(log.touches(Milliseconds { 10 }, Milliseconds { 99 }));
+    CHECK(log.overlaps(Milliseconds { 500 }, Milliseconds { 600 }));
+    CHECK_FALSE(log.overlaps(Milliseconds { 10 }, Milliseconds { 99 }));
 }
 
-TEST(DisturbanceLog, AnEndedDisturbanceTouchesNothingLater)
+TEST(DisturbanceLog, AnEndedDisturbanceOverlapsNoLaterPeriod)
 {
     DisturbanceLog log;
     log.begin(Milliseconds { 100 });
     log.end(Milliseconds { 200 });
-    CHECK(log.touches(Milliseconds { 150 }, Milliseconds { 900 }));
-    CHECK_FALSE(log.touches(Milliseconds { 201 }, Milliseconds { 900 }));
+    CHECK(log.overlaps(Milliseconds { 150 }, Milliseconds { 900 }));
+    CHECK_FALSE(log.overlaps(Milliseconds { 201 }, Milliseconds { 900 }));
 }
 
 TEST_GROUP(LoopbackProxy)
@@ -34,7 +34,7 @@
 
     // What the caller behind the proxy has received once the endpoint has answered its request, or after at most 200
     // turns of the io_context.
-    std::string answerThrough(LinkMode mode)
+    std::string responseThrough(LinkMode mode)
     {
         ScriptedEndpoint endpoint(ioContext);
         endpoint.onRequest([](ScriptedConnection& asker, const std::string&) { asker.answer(200, "", "whole"); });
@@ -66,20 +66,20 @@
     std::size_t requests { 0 };
 };
 
-TEST(LoopbackProxy, PassesBothWays)
+TEST(LoopbackProxy, ForwardsBothDirections)
 {
-    STRCMP_CONTAINS("whole", answerThrough(LinkMode::Pass).c_str());
+    STRCMP_CONTAINS("whole", responseThrough(LinkMode::Pass).c_str());
     LONGS_EQUAL(1, requests);
 }
 
-TEST(LoopbackProxy, ACutBackLosesTheAnswerOnly)
+TEST(LoopbackProxy, DropFromTargetLosesOnlyTheResponse)
 {
-    STRCMP_EQUAL("", answerThrough(LinkMode::CutBack).c_str());
+    STRCMP_EQUAL("", responseThrough(LinkMode::DropFromTarget).c_str());
     LONGS_EQUAL(1, requests);
 }
 
-TEST(LoopbackProxy, ACutForthLosesTheRequest)
+TEST(LoopbackProxy, DropToTargetLosesTheRequest)
 {
-    STRCMP_EQUAL("", answerThrough(LinkMode::CutForth).c_str());
+    STRCMP_EQUAL("", responseThrough(LinkMode::DropToTarget).c_str());
     LONGS_EQUAL(0, requests);
 }
