--- a/bench/DetectorStudy.cpp
+++ b/bench/DetectorStudy.cpp
@@ -18,7 +18,7 @@
 using lupinknot::internal::EngineStandInSettings;
 
 constexpr std::size_t generationCount = 4000;
-constexpr std::size_t tokensEach = 200;
+constexpr std::size_t tokensPerGeneration = 200;
 constexpr std::uint64_t seed = 42;
 
 struct Noise {
@@ -32,8 +32,8 @@
     SilenceBounds bounds;
 };
 
-struct Finding {
-    double falseAlarmPart { 0 };
+struct StudyResult {
+    double falseAlarmShare { 0 };
     // Milliseconds from the last token of a dead endpoint until it is suspected.
     double waitMedian { 0 };
     double waitHigh { 0 };
@@ -51,7 +51,7 @@
 
 // Each generation is simulated to its end to count false alarms. The wait is taken at one random token, as if the
 // endpoint died there.
-Finding study(const Noise& noise, const Candidate& candidate)
+StudyResult study(const Noise& noise, const Candidate& candidate)
 {
     std::mt19937_64 random(seed);
     const auto detector = makeSilenceDetector(candidate.kind, candidate.bounds);
@@ -59,9 +59,9 @@
     std::vector<double> waits;
     for (std::size_t generation = 0; generation < generationCount; ++generation) {
         bool isAlarmed = false;
-        const auto deathAt = random() % tokensEach;
-        for (std::size_t token = 0; token < tokensEach; ++token) {
-            if (token == deathAt)
+        const auto lastToken = random() % tokensPerGeneration;
+        for (std::size_t token = 0; token < tokensPerGeneration; ++token) {
+            if (token == lastToken)
                 waits.push_back(static_cast<double>(detector->patience().count()));
             const auto gap = drawGap(noise.engine, random);
             isAlarmed = isAlarmed || gap >= detector->patience();
@@ -115,7 +115,7 @@
                      "|\n|---|---|---|---|\n";
         for (const auto& candidate : candidates()) {
             const auto found = study(noise, candidate);
-            std::cout << "| " << candidate.name << " | " << found.falseAlarmPart * 100 << " % | " << found.waitMedian
+            std::cout << "| " << candidate.name << " | " << found.falseAlarmShare * 100 << " % | " << found.waitMedian
                       << " ms | " << found.waitHigh << " ms |\n";
         }
     }
--- a/bench/JournalStudy.cpp
+++ b/bench/JournalStudy.cpp
@@ -28,7 +28,7 @@
 using namespace lupinknot::internal;
 
 constexpr std::size_t pairs = 30;
-constexpr std::size_t tokensEach = 150;
+constexpr std::size_t tokensPerStream = 150;
 constexpr Milliseconds step { 30 };
 
 using Microseconds = std::chrono::duration<double, std::micro>;
@@ -77,7 +77,7 @@
     std::promise<void> m_ended;
 };
 
-struct Finding {
+struct StudyResult {
     double latencyMedian { 0 };
     double latencyHigh { 0 };
     double bytesPerToken { 0 };
@@ -105,21 +105,21 @@
             std::this_thread::sleep_for(Milliseconds { 5 });
     }
 
-    Finding run(bool isJournaled)
+    StudyResult run(bool isJournaled)
     {
         const auto bytesBefore = sentBytes();
         const auto processorBefore = processSeconds();
-        std::vector<std::shared_ptr<ArrivalListener>> keyed;
+        std::vector<std::shared_ptr<ArrivalListener>> journaled;
         std::vector<std::shared_ptr<ArrivalListener>> twins;
         for (std::size_t i = 0; i < pairs; ++i) {
-            keyed.push_back(ask(i, isJournaled));
-            twins.push_back(ask(i, false));
+            journaled.push_back(startStream(i, isJournaled));
+            twins.push_back(startStream(i, false));
         }
         std::vector<double> added;
         for (std::size_t i = 0; i < pairs; ++i)
-            compare(keyed[i]->wait(), twins[i]->wait(), added);
+            compare(journaled[i]->wait(), twins[i]->wait(), added);
         std::sort(added.begin(), added.end());
-        const auto tokens = static_cast<double>(pairs * tokensEach);
+        const auto tokens = static_cast<double>(pairs * tokensPerStream);
         return { added[added.size() / 2], added[added.size() * 95 / 100],
             static_cast<double>(sentBytes() - bytesBefore) / tokens,
             (processSeconds() - processorBefore) * 1e6 / (2 * tokens) };
@@ -136,10 +136,10 @@
         return settings;
     }
 
-    std::shared_ptr<ArrivalListener> ask(std::size_t index, bool hasKey)
+    std::shared_ptr<ArrivalListener> startStream(std::size_t index, bool hasKey)
     {
         const auto body = R"({"model":"story","prompt":[)" + std::to_string(index + 1) + R"(],"max_tokens":)"
-            + std::to_string(tokensEach) + R"(,"stream":true})";
+            + std::to_string(tokensPerStream) + R"(,"stream":true})";
         HttpRequest request { "POST", "/v1/completions", { { "Content-Type", "application/json" } }, body };
         if (hasKey)
             request.headers.add("Idempotency-Key", "k" + std::to_string(index));
@@ -150,11 +150,11 @@
 
     // Whole steps are subtracted: the engine admits the twins one after the other, possibly in different steps.
     static void compare(
-        const std::vector<Microseconds>& keyed, const std::vector<Microseconds>& twin, std::vector<double>& added)
+        const std::vector<Microseconds>& journaled, const std::vector<Microseconds>& twin, std::vector<double>& added)
     {
         const auto stepTime = Microseconds(step).count();
-        for (std::size_t i = 0; i < std::min(keyed.size(), twin.size()); ++i) {
-            const auto difference = (keyed[i] - twin[i]).count();
+        for (std::size_t i = 0; i < std::min(journaled.size(), twin.size()); ++i) {
+            const auto difference = (journaled[i] - twin[i]).count();
             added.push_back((difference - std::round(difference / stepTime) * stepTime) / 1000);
         }
     }
@@ -174,7 +174,7 @@
     std::array<std::unique_ptr<Daemon>, 2> m_daemons;
 };
 
-void print(const char* name, const Finding& found)
+void print(const char* name, const StudyResult& found)
 {
     std::cout << "| " << name << " | " << found.latencyMedian << " ms | " << found.latencyHigh << " ms | "
               << found.bytesPerToken << " | " << found.processorMicroseconds << " µs |\n";
--- a/bench/LimitStudy.cpp
+++ b/bench/LimitStudy.cpp
@@ -19,9 +19,9 @@
 
 constexpr std::array<std::size_t, 4> vmCounts { 3, 7, 88, 300 };
 constexpr std::array<double, 5> limits { 0.2, 1, 2.3, 20, 200 };
-constexpr std::uint64_t seedsOfACell = 5;
+constexpr std::uint64_t seedsPerCell = 5;
 
-void printWay(LimitWay way, bool hasTrouble)
+void printTable(LimitWay way, bool hasTrouble)
 {
     std::printf("\n%s, %s faults: worst four seconds as a share of the allowed requests / use / calls a second\n",
         std::string(nameIn(limitWayNames, way)).c_str(), hasTrouble ? "with" : "without");
@@ -34,7 +34,7 @@
             std::printf("%8.1f %10s", limit, isUneven ? "uneven" : "even");
             for (const auto vms : vmCounts) {
                 LimitOutcome sum;
-                for (std::uint64_t seed = 1; seed <= seedsOfACell; ++seed) {
+                for (std::uint64_t seed = 1; seed <= seedsPerCell; ++seed) {
                     const auto outcome = playLimit({ .way = way,
                         .vmCount = vms,
                         .perSecond = limit,
@@ -42,8 +42,8 @@
                         .hasTrouble = hasTrouble,
                         .seed = seed });
                     sum.worstShare = std::max(sum.worstShare, outcome.worstShare);
-                    sum.use += outcome.use / seedsOfACell;
-                    sum.callsPerSecond += outcome.callsPerSecond / seedsOfACell;
+                    sum.use += outcome.use / seedsPerCell;
+                    sum.callsPerSecond += outcome.callsPerSecond / seedsPerCell;
                 }
                 std::printf("  %5.2f %5.2f %8.1f", sum.worstShare, sum.use, sum.callsPerSecond);
             }
@@ -52,7 +52,7 @@
     }
 }
 
-void playMany(std::uint64_t count)
+void simulateMany(std::uint64_t count)
 {
     std::uint64_t broken = 0;
     double worst = 0;
@@ -77,8 +77,8 @@
 int main(int argc, char** argv)
 {
     for (const auto way : { LimitWay::EvenShare, LimitWay::DemandShares, LimitWay::OneCounts, LimitWay::BackOff })
-        printWay(way, false);
-    printWay(LimitWay::OneCounts, true);
-    playMany(argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1000);
+        printTable(way, false);
+    printTable(LimitWay::OneCounts, true);
+    simulateMany(argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1000);
     return 0;
 }
--- a/bench/ListenerBenchmark.cpp
+++ b/bench/ListenerBenchmark.cpp
@@ -24,7 +24,7 @@
 using boost::asio::ip::tcp;
 
 constexpr std::size_t streams = 8;
-constexpr std::size_t tokensEach = 2000;
+constexpr std::size_t tokensPerStream = 2000;
 const std::string token(66, 't');
 
 unsigned short freePort()
@@ -61,13 +61,13 @@
             reader.join();
     }
     state.SetItemsProcessed(
-        static_cast<std::int64_t>(static_cast<std::size_t>(state.iterations()) * streams * tokensEach));
+        static_cast<std::int64_t>(static_cast<std::size_t>(state.iterations()) * streams * tokensPerStream));
 }
 
 // Produces one token for each flush.
 class TokenSource final : public HttpBodySource {
 public:
-    HttpBodyPiece next() override { return { token, ++m_sent == tokensEach }; }
+    HttpBodyPiece next() override { return { token, ++m_sent == tokensPerStream }; }
 
 private:
     std::size_t m_sent { 0 };
@@ -95,7 +95,7 @@
 void writeTokens(concurrency::streams::producer_consumer_buffer<std::uint8_t> buffer)
 {
     const auto* bytes = reinterpret_cast<const std::uint8_t*>(token.data());
-    for (std::size_t i = 0; i < tokensEach; ++i) {
+    for (std::size_t i = 0; i < tokensPerStream; ++i) {
         buffer.putn_nocopy(bytes, token.size()).wait();
         buffer.sync().wait();
     }
--- a/bench/RelayBenchmark.cpp
+++ b/bench/RelayBenchmark.cpp
@@ -23,7 +23,7 @@
 using namespace lupinknot::internal;
 
 constexpr std::size_t streams = 32;
-constexpr std::size_t tokensEach = 200;
+constexpr std::size_t tokensPerStream = 200;
 constexpr unsigned callThreads = 8;
 
 EngineStandInSettings engineSettings()
@@ -131,7 +131,7 @@
         std::vector<std::shared_ptr<CountingListener>> listeners;
         for (std::size_t i = 0; i < streams; ++i) {
             const auto body = R"({"model":"story","prompt":[)" + std::to_string(i + 1) + R"(],"max_tokens":)"
-                + std::to_string(tokensEach) + R"(,"stream":true})";
+                + std::to_string(tokensPerStream) + R"(,"stream":true})";
             listeners.push_back(std::make_shared<CountingListener>());
             HttpCall::start({ "127.0.0.1", port },
                 { "POST", "/v1/completions", { { "Content-Type", "application/json" } }, body }, Milliseconds { 60000 },
@@ -141,7 +141,7 @@
             listener->wait();
     }
     state.SetItemsProcessed(
-        static_cast<std::int64_t>(static_cast<std::size_t>(state.iterations()) * streams * tokensEach));
+        static_cast<std::int64_t>(static_cast<std::size_t>(state.iterations()) * streams * tokensPerStream));
 }
 
 void direct(benchmark::State& state)
--- a/bench/RetryBudgetStudy.cpp
+++ b/bench/RetryBudgetStudy.cpp
@@ -14,17 +14,17 @@
 
 int main(int argc, char** argv)
 {
-    const std::uint64_t plays = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 10000;
+    const std::uint64_t scenarioCount = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 10000;
     const std::uint64_t first = argc > 2 ? std::strtoull(argv[2], nullptr, 10) : 1;
     RetryPlays sequence;
     std::uint64_t exceeded = 0;
     double worst = -1e9;
     long retries = 0;
     long denied = 0;
-    for (auto play = sequence.next(); play.seed < first + plays; play = sequence.next()) {
-        if (play.seed < first)
+    for (auto scenario = sequence.next(); scenario.seed < first + scenarioCount; scenario = sequence.next()) {
+        if (scenario.seed < first)
             continue;
-        const auto outcome = playRetries(play);
+        const auto outcome = playRetries(scenario);
         worst = std::max(worst, outcome.greatestExcess);
         retries += outcome.retries;
         denied += outcome.denied;
@@ -32,9 +32,11 @@
             continue;
         ++exceeded;
         std::printf("seed %llu: %d VMs, %.0f requests a second, %.0f retries over the budget\n",
-            static_cast<unsigned long long>(play.seed), play.vmCount, play.requestsPerSecond, outcome.greatestExcess);
+            static_cast<unsigned long long>(scenario.seed), scenario.vmCount, scenario.requestsPerSecond,
+            outcome.greatestExcess);
     }
     std::printf("%llu of %llu scenarios exceed the budget, worst %.0f, %ld retries sent, %ld denied\n",
-        static_cast<unsigned long long>(exceeded), static_cast<unsigned long long>(plays), worst, retries, denied);
+        static_cast<unsigned long long>(exceeded), static_cast<unsigned long long>(scenarioCount), worst, retries,
+        denied);
     return exceeded == 0 ? 0 : 1;
 }
--- a/bench/RolloutStudy.cpp
+++ b/bench/RolloutStudy.cpp
@@ -32,18 +32,18 @@
     return values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
 }
 
-Row playRow(RolloutPlay play, int count, unsigned firstSeed)
+Row simulateRow(RolloutPlay scenario, int count, unsigned firstSeed)
 {
     Row row;
     for (int i = 0; i < count; ++i) {
-        play.seed = firstSeed + static_cast<unsigned>(i);
-        const auto outcome = playRollout(play);
-        const bool isBad = isBadVersion(play.fault);
+        scenario.seed = firstSeed + static_cast<unsigned>(i);
+        const auto outcome = playRollout(scenario);
+        const bool isBad = isBadVersion(scenario.fault);
         row.undecided += outcome.decision == RolloutDecision::Undecided ? 1 : 0;
         row.wrong += outcome.decision == (isBad ? RolloutDecision::Completed : RolloutDecision::RolledBack) ? 1 : 0;
         if (!outcome.violation.empty()) {
             ++row.broken;
-            row.brokenSeed = play.seed;
+            row.brokenSeed = scenario.seed;
         }
         row.excess.push_back(100 * outcome.exposed / std::max(outcome.mostExposed, 1));
         row.afterFifty.push_back(outcome.lastSentAfterFiftyBad.count());
@@ -64,10 +64,10 @@
         "exposed% p99", "after50 ms p99", "decided ms p50");
     for (const auto& fault : versionFaultNames) {
         for (const double rate : { 10.0, 46.0, 100.0, 400.0, 1500.0 }) {
-            RolloutPlay play { .vmCount = vmCount, .requestsPerSecond = rate, .fault = fault.value };
-            if (play.fault == VersionFault::FlakyBothSides)
-                play.usualBadShare = 0.15;
-            const auto row = playRow(play, count, firstSeed);
+            RolloutPlay scenario { .vmCount = vmCount, .requestsPerSecond = rate, .fault = fault.value };
+            if (scenario.fault == VersionFault::FlakyBothSides)
+                scenario.usualBadShare = 0.15;
+            const auto row = simulateRow(scenario, count, firstSeed);
             std::printf("%-24s %8.0f %6d %9d %7d %6d %13d %13lld %14lld %s\n", std::string(fault.name).c_str(), rate,
                 count, row.wrong, row.undecided, row.broken, quantile(row.excess, 0.99),
                 static_cast<long long>(quantile(row.afterFifty, 0.99)),
--- a/test/RunUntil.h
+++ b/test/RunUntil.h
@@ -11,9 +11,9 @@
 // it.
 inline bool runUntil(boost::asio::io_context& ioContext, const std::function<bool()>& condition)
 {
-    constexpr std::chrono::seconds patience { 20 };
+    constexpr std::chrono::seconds timeout { 20 };
     constexpr std::chrono::milliseconds step { 20 };
-    const auto end = std::chrono::steady_clock::now() + patience;
+    const auto end = std::chrono::steady_clock::now() + timeout;
     while (!condition()) {
         if (std::chrono::steady_clock::now() > end)
             return false;
