--- a/bench/DetectorStudy.cpp
+++ b/bench/DetectorStudy.cpp
@@ -62,9 +62,9 @@
         const auto lastToken = random() % tokensPerGeneration;
         for (std::size_t token = 0; token < tokensPerGeneration; ++token) {
             if (token == lastToken)
-                waits.push_back(static_cast<double>(detector->patience().count()));
+                waits.push_back(static_cast<double>(detector->silenceTimeout().count()));
             const auto gap = drawGap(noise.engine, random);
-            isAlarmed = isAlarmed || gap >= detector->patience();
+            isAlarmed = isAlarmed || gap >= detector->silenceTimeout();
             detector->observe(gap);
         }
         alarmed += isAlarmed ? 1 : 0;
--- a/bench/JournalStudy.cpp
+++ b/bench/JournalStudy.cpp
@@ -52,7 +52,7 @@
 // Records the arrival time of each token.
 class ArrivalListener final : public HttpCallListener {
 public:
-    void headArrived(unsigned, const HttpHeaders&) override { }
+    void headerArrived(unsigned, const HttpHeaders&) override { }
     void bodyArrived(std::string_view piece) override
     {
         std::vector<SseEvent> events;
--- a/bench/RelayBenchmark.cpp
+++ b/bench/RelayBenchmark.cpp
@@ -42,7 +42,7 @@
     {
     }
 
-    void headArrived(unsigned status, const HttpHeaders& headers) override
+    void headerArrived(unsigned status, const HttpHeaders& headers) override
     {
         m_exchange->stream({ status, headers.endToEnd(), {} }, shared_from_this());
     }
@@ -114,7 +114,7 @@
 // Waits for the end of the response and ignores its content, so that the callers cost the same in each run.
 class CountingListener final : public HttpCallListener {
 public:
-    void headArrived(unsigned, const HttpHeaders&) override { }
+    void headerArrived(unsigned, const HttpHeaders&) override { }
     void bodyArrived(std::string_view) override { }
     void ended() override { m_ended.set_value(); }
     void failed(HttpCallFailure, const std::string&) override { m_ended.set_value(); }
--- a/include/lupinknot/AttemptHost.h
+++ b/include/lupinknot/AttemptHost.h
@@ -1,7 +1,7 @@
 // What a GenerationDriver needs from the program that embeds it.
 #pragma once
 
-#include "lupinknot/EndpointPulse.h"
+#include "lupinknot/EndpointLiveness.h"
 #include "lupinknot/FailureKind.h"
 #include "lupinknot/Generation.h"
 #include <memory>
@@ -15,7 +15,7 @@
 
 struct EndpointChoice {
     EndpointName name;
-    std::shared_ptr<EndpointPulse> pulse;
+    std::shared_ptr<EndpointLiveness> liveness;
 };
 
 // The order to run the rest of a generation on an endpoint.
--- a/include/lupinknot/EndpointPulse.h
+++ b/include/lupinknot/EndpointLiveness.h
@@ -1,7 +1,7 @@
 // Tells whether an endpoint is silent, from the tokens of all streams on it.
 //
 // A token of any stream proves the endpoint alive. When all are silent together for longer than the detector's
-// patience, the endpoint is suspected; one stream that is silent while others go on is given more time.
+// silenceTimeout, the endpoint is suspected; one stream that is silent while others go on is given more time.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -12,7 +12,7 @@
 
 namespace lupinknot {
 
-struct PulseSettings {
+struct LivenessSettings {
     DetectorKind detector { DetectorKind::Maximum };
     SilenceBounds bounds;
     // How long one stream may be silent while others on the endpoint go on.
@@ -30,23 +30,23 @@
     bool hasToken { false };
 };
 
-enum class PulseVerdict {
+enum class LivenessVerdict {
     Alive,
     EndpointSilent,
     StreamSilent,
 };
 
 // Thread-safe, under one lock of its own. Shared by the streams on one endpoint.
-class EndpointPulse {
+class EndpointLiveness {
 public:
-    explicit EndpointPulse(const PulseSettings&);
+    explicit EndpointLiveness(const LivenessSettings&);
 
     // Tells of a token; the gap is the time since the same stream's token before, if there was one.
     void tokenSeen(Milliseconds now, std::optional<Milliseconds> gap);
-    PulseVerdict verdict(Milliseconds now, const StreamActivity&) const;
+    LivenessVerdict verdict(Milliseconds now, const StreamActivity&) const;
     // The earliest instant at which the verdict can differ from Alive if nothing more comes.
     Milliseconds nextCheck(const StreamActivity&) const;
-    Milliseconds patience() const;
+    Milliseconds silenceTimeout() const;
 
 private:
     // The instants at which the two kinds of silence become too long.
@@ -56,7 +56,7 @@
     };
     Limits limits(const StreamActivity&) const;
 
-    const PulseSettings m_settings;
+    const LivenessSettings m_settings;
     mutable std::mutex m_mutex;
     std::unique_ptr<SilenceDetector> m_detector;
     Milliseconds m_lastToken { 0 };
--- a/include/lupinknot/GenerationDriver.h
+++ b/include/lupinknot/GenerationDriver.h
@@ -58,7 +58,7 @@
     // Stops the work because nobody waits for it any more. The tokens stay.
     void abandon();
     // Continues abandoned work from its tokens. Does nothing unless the work was abandoned and may go on.
-    void revive(Milliseconds now, Milliseconds deadline);
+    void resumeAbandoned(Milliseconds now, Milliseconds deadline);
 
     const Generation& generation() const { return m_generation; }
     bool isRepeatable() const { return m_request.repeatable; }
--- a/include/lupinknot/SilenceDetector.h
+++ b/include/lupinknot/SilenceDetector.h
@@ -23,20 +23,20 @@
     { DetectorKind::PhiAccrual, "phi-accrual" },
 } };
 
-// Bounds of the patience that a detector may answer with.
+// Bounds of the silenceTimeout that a detector may answer with.
 struct SilenceBounds {
     Milliseconds floor { 350 };
     Milliseconds ceiling { 1500 };
 };
 
-// Not thread-safe: EndpointPulse protects it by its lock.
+// Not thread-safe: EndpointLiveness protects it by its lock.
 class SilenceDetector {
 public:
     virtual ~SilenceDetector() = default;
     // Takes the gap between two tokens of one stream.
     virtual void observe(Milliseconds gap) = 0;
     // How long a silence may last, within the bounds.
-    virtual Milliseconds patience() const = 0;
+    virtual Milliseconds silenceTimeout() const = 0;
 };
 
 // Makes a detector of a kind. The fixed one answers with the floor.
--- a/samples/ResumeOnLoss.cpp
+++ b/samples/ResumeOnLoss.cpp
@@ -17,7 +17,7 @@
     std::optional<EndpointChoice> chooseEndpoint(const std::vector<EndpointName>& avoid) override
     {
         const EndpointName name = avoid.empty() ? "engine-1" : "engine-2";
-        return EndpointChoice { name, std::make_shared<EndpointPulse>(PulseSettings {}) };
+        return EndpointChoice { name, std::make_shared<EndpointLiveness>(LivenessSettings {}) };
     }
 
     void startAttempt(const AttemptOrder& order) override
--- a/src/admission/AttemptAdmission.cpp
+++ b/src/admission/AttemptAdmission.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-RefusalReason reasonOf(const EndpointOpening& opening)
+RefusalReason reasonOf(const EndpointAvailability& availability)
 {
-    return opening.isAfterRest ? RefusalReason::EndpointsResting : RefusalReason::EndpointsLimited;
+    return availability.isAfterBackOff ? RefusalReason::EndpointsInBackOff : RefusalReason::EndpointsLimited;
 }
 
 bool isFull(RefusalReason reason)
 {
-    return isForOpening(reason) || reason == RefusalReason::EndpointsBusy || reason == RefusalReason::RetryBudgetSpent;
+    return isUnavailabilityRefusal(reason) || reason == RefusalReason::EndpointsBusy
+        || reason == RefusalReason::RetryBudgetSpent;
 }
 
 } // namespace
@@ -23,66 +24,66 @@
     return state.possibleRuns < state.mostRuns && (state.possibleRuns == 0 || state.mayRunAgain);
 }
 
-AttemptVerdict judgeAttempt(const AttemptState& state)
+AttemptDecision decideAttempt(const AttemptState& state)
 {
-    if (state.standing == Standing::Held)
-        return AttemptVerdict::Held;
-    if (state.standing == Standing::UnderJudgement)
-        return AttemptVerdict::Undecided;
-    return mayRunOnceMore(state) ? AttemptVerdict::Allowed : AttemptVerdict::RunsSpent;
+    if (state.quarantineStatus == QuarantineStatus::Held)
+        return AttemptDecision::Held;
+    if (state.quarantineStatus == QuarantineStatus::Pending)
+        return AttemptDecision::Undecided;
+    return mayRunOnceMore(state) ? AttemptDecision::Allowed : AttemptDecision::RunsSpent;
 }
 
-RefusalReason refusalAfter(AttemptVerdict verdict, unsigned possibleRuns)
+RefusalReason refusalAfter(AttemptDecision verdict, unsigned possibleRuns)
 {
-    if (verdict == AttemptVerdict::Held)
-        return possibleRuns > 0 ? RefusalReason::EndedEndpoints : RefusalReason::HeldBack;
-    if (verdict == AttemptVerdict::RetriesSpent && possibleRuns == 0)
+    if (verdict == AttemptDecision::Held)
+        return possibleRuns > 0 ? RefusalReason::CrashedEndpoints : RefusalReason::HeldInQuarantine;
+    if (verdict == AttemptDecision::RetriesSpent && possibleRuns == 0)
         return RefusalReason::RetryBudgetSpent;
     return RefusalReason::EndpointFailed;
 }
 
-RetryPurpose purposeAfter(RefusalReason lastReason)
+RetryPurpose retryPurposeAfter(RefusalReason lastReason)
 {
-    return isFull(lastReason) ? RetryPurpose::FullService : RetryPurpose::Rescue;
+    return isFull(lastReason) ? RetryPurpose::AfterRejection : RetryPurpose::Failover;
 }
 
 UnplacedDecision waitOrRefuse(const UnplacedRequest& request, Milliseconds now)
 {
-    const auto& opening = request.opening;
-    if (!opening) {
-        const auto wait = waitForPlace(request.call, request.usualCallTime, request.spread, now);
+    const auto& availability = request.availability;
+    if (!availability) {
+        const auto wait = waitForCapacity(request.call, request.medianCallTime, request.spread, now);
         return { wait.waits, wait.pause, request.lastReason };
     }
-    const auto spread = opening->isAfterRest ? request.spread : 0;
-    const auto wait = waitForOpening(request.call, opening->at - now, request.usualCallTime, spread, now);
-    return { wait.waits, wait.pause, reasonOf(*opening) };
+    const auto spread = availability->isAfterBackOff ? request.spread : 0;
+    const auto wait = waitForAvailability(request.call, availability->at - now, request.medianCallTime, spread, now);
+    return { wait.waits, wait.pause, reasonOf(*availability) };
 }
 
-UnplacedDecision waitOrRefuseStream(const std::optional<EndpointOpening>& opening, unsigned possibleRuns,
+UnplacedDecision waitOrRefuseStream(const std::optional<EndpointAvailability>& availability, unsigned possibleRuns,
     Milliseconds waitsUntil, Milliseconds lookInterval, Milliseconds now)
 {
-    if (opening && possibleRuns == 0 && opening->at > waitsUntil)
-        return { false, Milliseconds { 0 }, reasonOf(*opening) };
+    if (availability && possibleRuns == 0 && availability->at > waitsUntil)
+        return { false, Milliseconds { 0 }, reasonOf(*availability) };
     const auto reason = possibleRuns > 0 ? RefusalReason::EndpointFailed : RefusalReason::NoEndpoint;
     return { now < waitsUntil, lookInterval, reason };
 }
 
-bool isForOpening(RefusalReason reason)
+bool isUnavailabilityRefusal(RefusalReason reason)
 {
-    return reason == RefusalReason::EndpointsLimited || reason == RefusalReason::EndpointsResting;
+    return reason == RefusalReason::EndpointsLimited || reason == RefusalReason::EndpointsInBackOff;
 }
 
-Milliseconds comeBackAtOpening(const EndpointOpening& opening, double spread, Milliseconds now)
+Milliseconds retryDelayUntilAvailable(const EndpointAvailability& availability, double spread, Milliseconds now)
 {
-    const auto opensIn = opening.at - now;
-    return opening.isAfterRest ? comeBackAfterRest(opensIn, spread) : opensIn;
+    const auto opensIn = availability.at - now;
+    return availability.isAfterBackOff ? comeBackAfterRest(opensIn, spread) : opensIn;
 }
 
-Milliseconds comeBackAfter(const UnplacedRequest& request, Milliseconds now)
+Milliseconds retryDelayAfterRefusal(const UnplacedRequest& request, Milliseconds now)
 {
     const auto reason = request.lastReason;
-    if (request.opening && isForOpening(reason))
-        return comeBackAtOpening(*request.opening, request.spread, now);
+    if (request.availability && isUnavailabilityRefusal(reason))
+        return retryDelayUntilAvailable(*request.availability, request.spread, now);
     const auto obstacle = reason == RefusalReason::NoEndpoint ? PlaceObstacle::Unreachable : PlaceObstacle::Full;
     return comeBackIn(obstacle, request.call.deadline - now, request.spread);
 }
--- a/src/admission/AttemptAdmission.h
+++ b/src/admission/AttemptAdmission.h
@@ -7,19 +7,19 @@
 // - No endpoint takes a request now: all are full, out of reach, at rest or under a rate limit. Those whose time allows
 //   wait, the others are refused at once and told when to come back.
 //
-//     const auto verdict = judgeAttempt(state);
-//     if (verdict != AttemptVerdict::Allowed) refuse(refusalAfter(verdict, state.possibleRuns));
+//     const auto verdict = decideAttempt(state);
+//     if (verdict != AttemptDecision::Allowed) refuse(refusalAfter(verdict, state.possibleRuns));
 //     ...
-//     const auto wait = waitOrRefuse({ call, opening, usualCallTime, spread, mayWait, reason }, now);
+//     const auto wait = waitOrRefuse({ call, availability, medianCallTime, spread, mayWait, reason }, now);
 //
 // Pure functions of their arguments; thread-safe.
 #pragma once
 
 #include "admission/RefusalReason.h"
-#include "admission/WaitForPlace.h"
-#include "endpoint/EndpointOpening.h"
+#include "admission/WaitForCapacity.h"
+#include "endpoint/EndpointAvailability.h"
 #include "lupinknot/Clock.h"
-#include "quarantine/Standing.h"
+#include "quarantine/QuarantineStatus.h"
 #include <optional>
 
 namespace lupinknot::internal {
@@ -28,7 +28,7 @@
 
 // What is known of a request in front of an attempt.
 struct AttemptState {
-    Standing standing { Standing::Free };
+    QuarantineStatus quarantineStatus { QuarantineStatus::Free };
     // Attempts that an endpoint may have run, and the most that there may be.
     unsigned possibleRuns { 0 };
     unsigned mostRuns { 1 };
@@ -36,7 +36,7 @@
     bool mayRunAgain { false };
 };
 
-enum class AttemptVerdict {
+enum class AttemptDecision {
     Allowed,
     Undecided, // Ask again soon: endpoints that ended under the request are being judged.
     Held, // It ends endpoints.
@@ -44,21 +44,21 @@
     RetriesSpent, // The budget has no retry left for it.
 };
 
-AttemptVerdict judgeAttempt(const AttemptState&);
+AttemptDecision decideAttempt(const AttemptState&);
 // True when one more attempt may run, whatever else stands against it.
 bool mayRunOnceMore(const AttemptState&);
 // Why a request ends whose next attempt is not made.
-RefusalReason refusalAfter(AttemptVerdict, unsigned possibleRuns);
+RefusalReason refusalAfter(AttemptDecision, unsigned possibleRuns);
 // What a retry is for that follows an attempt which ended so.
-RetryPurpose purposeAfter(RefusalReason lastReason);
+RetryPurpose retryPurposeAfter(RefusalReason lastReason);
 
 // A request that no endpoint takes now and that has run nowhere.
 struct UnplacedRequest {
     WaitingCall call;
     // Where all endpoints are limited or at rest, when the first takes requests again.
-    std::optional<EndpointOpening> opening;
+    std::optional<EndpointAvailability> availability;
     // What an answer of the service takes.
-    Milliseconds usualCallTime { 0 };
+    Milliseconds medianCallTime { 0 };
     // From 0 to 1, different for each request.
     double spread { 0 };
     // Why the last attempt came to nothing.
@@ -77,17 +77,17 @@
 
 // The same for a stream, which looks for an engine all the time until the instant and is refused earlier only if none
 // can be had by then.
-UnplacedDecision waitOrRefuseStream(const std::optional<EndpointOpening>&, unsigned possibleRuns,
+UnplacedDecision waitOrRefuseStream(const std::optional<EndpointAvailability>&, unsigned possibleRuns,
     Milliseconds waitsUntil, Milliseconds lookInterval, Milliseconds now);
 
 // True where a request is refused because all endpoints rest or are limited.
-bool isForOpening(RefusalReason);
+bool isUnavailabilityRefusal(RefusalReason);
 
-// When a caller should come back that is refused because no endpoint takes requests before the opening. Callers are
-// spread behind the end of a rest.
-Milliseconds comeBackAtOpening(const EndpointOpening&, double spread, Milliseconds now);
+// When a caller should come back that is refused because no endpoint takes requests before the availability. Callers
+// are spread behind the end of a rest.
+Milliseconds retryDelayUntilAvailable(const EndpointAvailability&, double spread, Milliseconds now);
 
 // When a caller should come back that is refused for the reason.
-Milliseconds comeBackAfter(const UnplacedRequest&, Milliseconds now);
+Milliseconds retryDelayAfterRefusal(const UnplacedRequest&, Milliseconds now);
 
 } // namespace lupinknot::internal
--- a/src/admission/RefusalReason.h
+++ b/src/admission/RefusalReason.h
@@ -12,14 +12,14 @@
     NoEndpoint,
     EndpointsBusy,
     EndpointsLimited,
-    EndpointsResting,
+    EndpointsInBackOff,
     RetryBudgetSpent,
     EndpointFailed,
     TimedOut,
     TimedOutUnsent,
     TooLittleTime,
-    HeldBack,
-    EndedEndpoints,
+    HeldInQuarantine,
+    CrashedEndpoints,
 };
 
 } // namespace lupinknot::internal
--- a/src/admission/WaitForPlace.cpp
+++ b/src/admission/WaitForCapacity.cpp
@@ -1,4 +1,4 @@
-#include "admission/WaitForPlace.h"
+#include "admission/WaitForCapacity.h"
 
 #include <algorithm>
 
@@ -16,12 +16,12 @@
 
 } // namespace
 
-WaitDecision waitForPlace(const WaitingCall& call, Milliseconds usualCallTime, double spread, Milliseconds now)
+WaitDecision waitForCapacity(const WaitingCall& call, Milliseconds medianCallTime, double spread, Milliseconds now)
 {
-    const auto first = std::clamp(usualCallTime, shortestPause, longestPause);
+    const auto first = std::clamp(medianCallTime, shortestPause, longestPause);
     const auto doubled = std::min(first * (1 << std::min(call.rounds, mostDoublings)), longestPause);
     const auto pause = scaled(doubled, 1 - pauseSpread + 2 * pauseSpread * spread);
-    const bool endsInTime = now + pause + usualCallTime <= call.deadline;
+    const bool endsInTime = now + pause + medianCallTime <= call.deadline;
     return { pause <= timeToWait(call, now) && endsInTime, pause };
 }
 
@@ -31,11 +31,11 @@
     return std::max(latest - now, Milliseconds { 0 });
 }
 
-WaitDecision waitForOpening(
-    const WaitingCall& call, Milliseconds opensIn, Milliseconds usualCallTime, double spread, Milliseconds now)
+WaitDecision waitForAvailability(
+    const WaitingCall& call, Milliseconds opensIn, Milliseconds medianCallTime, double spread, Milliseconds now)
 {
     const auto pause = std::max(opensIn, shortestPause) + scaled(comeBackWhenFull, spread);
-    const bool endsInTime = now + pause + usualCallTime <= call.deadline;
+    const bool endsInTime = now + pause + medianCallTime <= call.deadline;
     return { pause <= timeToWait(call, now) && endsInTime, pause };
 }
 
--- a/src/admission/WaitForPlace.h
+++ b/src/admission/WaitForCapacity.h
@@ -8,7 +8,7 @@
 //
 // In both a caller has one retry, and waiting is worth more than a refusal as long as the answer can come in time.
 //
-//     const auto decision = waitForPlace({ arrivedAt, deadline, rounds }, usualCallTime, spread, now);
+//     const auto decision = waitForCapacity({ arrivedAt, deadline, rounds }, medianCallTime, spread, now);
 //     if (decision.waits) ...                                  // Try again after decision.pause.
 //     else refuse(comeBackIn(PlaceObstacle::Full, timeLeft, usual, spread));
 //
@@ -47,8 +47,8 @@
 // Pauses are spread by this share to either side, so that calls that were turned away together do not return together.
 inline constexpr double pauseSpread = 0.25;
 
-// `usualCallTime` is what an answer of the service takes, `spread` a random number from 0 to 1.
-WaitDecision waitForPlace(const WaitingCall&, Milliseconds usualCallTime, double spread, Milliseconds now);
+// `medianCallTime` is what an answer of the service takes, `spread` a random number from 0 to 1.
+WaitDecision waitForCapacity(const WaitingCall&, Milliseconds medianCallTime, double spread, Milliseconds now);
 
 // How long a call may go on waiting for a place: it keeps time for one more try of its caller.
 Milliseconds timeToWait(const WaitingCall&, Milliseconds now);
@@ -56,8 +56,8 @@
 // The same decision where it is known when the first endpoint takes requests again, because all have asked for a pause
 // or take only so many a second. A call that cannot wait until then is refused at once. The spread keeps calls that
 // wait for the end of one rest from arriving together; permits are spread already (0).
-WaitDecision waitForOpening(
-    const WaitingCall&, Milliseconds opensIn, Milliseconds usualCallTime, double spread, Milliseconds now);
+WaitDecision waitForAvailability(
+    const WaitingCall&, Milliseconds opensIn, Milliseconds medianCallTime, double spread, Milliseconds now);
 
 // The most of its time that a caller spends before it comes back; a longer wait is cut to this by callers.
 inline constexpr double comeBackShare = 1.0 / 3;
--- a/src/admission/WaitingRoom.cpp
+++ b/src/admission/WaitingRequestLimit.cpp
@@ -1,8 +1,8 @@
-#include "admission/WaitingRoom.h"
+#include "admission/WaitingRequestLimit.h"
 
 namespace lupinknot::internal {
 
-bool WaitingRoom::enter(std::size_t bytes)
+bool WaitingRequestLimit::enter(std::size_t bytes)
 {
     if (m_count >= mostRequests || bytes > mostBytes - m_bytes)
         return false;
@@ -11,7 +11,7 @@
     return true;
 }
 
-void WaitingRoom::leave(std::size_t bytes)
+void WaitingRequestLimit::leave(std::size_t bytes)
 {
     --m_count;
     m_bytes -= bytes;
--- a/src/admission/WaitingRoom.h
+++ b/src/admission/WaitingRequestLimit.h
@@ -12,7 +12,7 @@
 
 namespace lupinknot::internal {
 
-class WaitingRoom {
+class WaitingRequestLimit {
 public:
     // A small VM serves some hundred requests a second, and none waits longer than two seconds on usual routes.
     static constexpr std::size_t mostRequests = 256;
--- a/src/common/Log.cpp
+++ b/src/common/Log.cpp
@@ -37,12 +37,12 @@
     boost::log::add_common_attributes();
 }
 
-void writeLog(LogLevel level, LogPart part, const std::string& sentence)
+void writeLog(LogLevel level, LogComponent part, const std::string& sentence)
 {
     if (level < lowestLoggedLevel.load(std::memory_order_relaxed))
         return;
     thread_local boost::log::sources::logger logger;
-    BOOST_LOG(logger) << nameIn(logLevelNames, level) << " " << nameIn(logPartNames, part) << ": " << sentence;
+    BOOST_LOG(logger) << nameIn(logLevelNames, level) << " " << nameIn(logComponentNames, part) << ": " << sentence;
 }
 
 } // namespace lupinknot::internal
--- a/src/common/Log.h
+++ b/src/common/Log.h
@@ -1,6 +1,6 @@
 // The log of all our programs: short sentences, each with the fixed prefix of the part that says it.
 //
-//     logInfo(LogPart::Route, "generation g1 attempt 2 goes to e3: fewest in flight (1).");
+//     logInfo(LogComponent::Route, "generation g1 attempt 2 goes to e3: fewest in flight (1).");
 //
 // A line reads `2026-01-02T03:04:05.678 info route: ...` and goes to standard error.
 #pragma once
@@ -10,7 +10,7 @@
 
 namespace lupinknot::internal {
 
-enum class LogPart {
+enum class LogComponent {
     Daemon,
     Settings,
     Listener,
@@ -26,20 +26,20 @@
     Load,
 };
 
-inline constexpr std::array<EnumName<LogPart>, 13> logPartNames { {
-    { LogPart::Daemon, "daemon" },
-    { LogPart::Settings, "settings" },
-    { LogPart::Listener, "listener" },
-    { LogPart::Caller, "caller" },
-    { LogPart::Route, "route" },
-    { LogPart::Attempt, "attempt" },
-    { LogPart::Service, "service" },
-    { LogPart::Membership, "membership" },
-    { LogPart::Platform, "platform" },
-    { LogPart::Journal, "journal" },
-    { LogPart::Authority, "authority" },
-    { LogPart::StandIn, "stand-in" },
-    { LogPart::Load, "load" },
+inline constexpr std::array<EnumName<LogComponent>, 13> logComponentNames { {
+    { LogComponent::Daemon, "daemon" },
+    { LogComponent::Settings, "settings" },
+    { LogComponent::Listener, "listener" },
+    { LogComponent::Caller, "caller" },
+    { LogComponent::Route, "route" },
+    { LogComponent::Attempt, "attempt" },
+    { LogComponent::Service, "service" },
+    { LogComponent::Membership, "membership" },
+    { LogComponent::Platform, "platform" },
+    { LogComponent::Journal, "journal" },
+    { LogComponent::Authority, "authority" },
+    { LogComponent::StandIn, "stand-in" },
+    { LogComponent::Load, "load" },
 } };
 
 enum class LogLevel {
@@ -60,14 +60,14 @@
 void initializeLog(LogLevel);
 
 // Thread-safe.
-void writeLog(LogLevel, LogPart, const std::string& sentence);
+void writeLog(LogLevel, LogComponent, const std::string& sentence);
 
-inline void logDebug(LogPart part, const std::string& sentence) { writeLog(LogLevel::Debug, part, sentence); }
+inline void logDebug(LogComponent part, const std::string& sentence) { writeLog(LogLevel::Debug, part, sentence); }
 
-inline void logInfo(LogPart part, const std::string& sentence) { writeLog(LogLevel::Info, part, sentence); }
+inline void logInfo(LogComponent part, const std::string& sentence) { writeLog(LogLevel::Info, part, sentence); }
 
-inline void logWarning(LogPart part, const std::string& sentence) { writeLog(LogLevel::Warning, part, sentence); }
+inline void logWarning(LogComponent part, const std::string& sentence) { writeLog(LogLevel::Warning, part, sentence); }
 
-inline void logError(LogPart part, const std::string& sentence) { writeLog(LogLevel::Error, part, sentence); }
+inline void logError(LogComponent part, const std::string& sentence) { writeLog(LogLevel::Error, part, sentence); }
 
 } // namespace lupinknot::internal
--- a/src/core/EndpointPulse.cpp
+++ b/src/core/EndpointLiveness.cpp
@@ -1,16 +1,16 @@
-#include "lupinknot/EndpointPulse.h"
+#include "lupinknot/EndpointLiveness.h"
 
 #include <algorithm>
 
 namespace lupinknot {
 
-EndpointPulse::EndpointPulse(const PulseSettings& settings)
+EndpointLiveness::EndpointLiveness(const LivenessSettings& settings)
     : m_settings(settings)
     , m_detector(makeSilenceDetector(settings.detector, settings.bounds))
 {
 }
 
-void EndpointPulse::tokenSeen(Milliseconds now, std::optional<Milliseconds> gap)
+void EndpointLiveness::tokenSeen(Milliseconds now, std::optional<Milliseconds> gap)
 {
     const std::lock_guard lock(m_mutex);
     m_lastToken = std::max(m_lastToken, now);
@@ -18,36 +18,36 @@
         m_detector->observe(*gap);
 }
 
-PulseVerdict EndpointPulse::verdict(Milliseconds now, const StreamActivity& activity) const
+LivenessVerdict EndpointLiveness::verdict(Milliseconds now, const StreamActivity& activity) const
 {
     const std::lock_guard lock(m_mutex);
     const auto due = limits(activity);
     if (now >= due.endpoint)
-        return PulseVerdict::EndpointSilent;
+        return LivenessVerdict::EndpointSilent;
     if (now >= due.stream)
-        return PulseVerdict::StreamSilent;
-    return PulseVerdict::Alive;
+        return LivenessVerdict::StreamSilent;
+    return LivenessVerdict::Alive;
 }
 
-Milliseconds EndpointPulse::nextCheck(const StreamActivity& activity) const
+Milliseconds EndpointLiveness::nextCheck(const StreamActivity& activity) const
 {
     const std::lock_guard lock(m_mutex);
     const auto due = limits(activity);
     return std::min(due.endpoint, due.stream);
 }
 
-Milliseconds EndpointPulse::patience() const
+Milliseconds EndpointLiveness::silenceTimeout() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_detector->patience();
+    return m_detector->silenceTimeout();
 }
 
-EndpointPulse::Limits EndpointPulse::limits(const StreamActivity& activity) const
+EndpointLiveness::Limits EndpointLiveness::limits(const StreamActivity& activity) const
 {
     // A token of another stream is as good a sign of life as one of this stream.
     const auto lastSign = std::max(m_lastToken, activity.lastActivity);
     if (activity.hasToken)
-        return { lastSign + m_detector->patience(), activity.lastActivity + m_settings.loneStreamPatience };
+        return { lastSign + m_detector->silenceTimeout(), activity.lastActivity + m_settings.loneStreamPatience };
     return { lastSign + m_settings.prefillPatience, activity.lastActivity + m_settings.firstTokenTimeout };
 }
 
--- a/src/core/GenerationDriver.cpp
+++ b/src/core/GenerationDriver.cpp
@@ -98,7 +98,7 @@
 Milliseconds GenerationDriver::nextTick() const
 {
     if (m_state == State::Running)
-        return std::min(m_request.deadline, m_running.endpoint.pulse->nextCheck(m_running.activity));
+        return std::min(m_request.deadline, m_running.endpoint.liveness->nextCheck(m_running.activity));
     if (m_state == State::WaitingForEndpoint)
         return std::min(m_request.deadline, m_retryAt);
     return Milliseconds::max();
@@ -129,7 +129,7 @@
     beginAttempt(std::move(endpoint), now, true);
 }
 
-void GenerationDriver::revive(Milliseconds now, Milliseconds deadline)
+void GenerationDriver::resumeAbandoned(Milliseconds now, Milliseconds deadline)
 {
     const bool isAbandoned = m_error && m_error->code == GenerationErrorCode::Abandoned;
     if (!isAbandoned || nextStep(m_recovery, m_settings) == RecoveryStep::GiveUp)
@@ -176,7 +176,7 @@
     std::optional<Milliseconds> gap;
     if (m_running.activity.hasToken)
         gap = now - m_running.activity.lastActivity;
-    m_running.endpoint.pulse->tokenSeen(now, gap);
+    m_running.endpoint.liveness->tokenSeen(now, gap);
     m_running.activity = { now, true };
     m_recovery.tokensHeld = m_generation.length();
     m_recovery.mayHaveStarted = true;
@@ -223,10 +223,10 @@
 
 void GenerationDriver::checkSilence(Milliseconds now)
 {
-    const auto verdict = m_running.endpoint.pulse->verdict(now, m_running.activity);
-    if (verdict == PulseVerdict::Alive)
+    const auto verdict = m_running.endpoint.liveness->verdict(now, m_running.activity);
+    if (verdict == LivenessVerdict::Alive)
         return;
-    const bool isFirstTokenLate = verdict == PulseVerdict::StreamSilent && !m_running.activity.hasToken;
+    const bool isFirstTokenLate = verdict == LivenessVerdict::StreamSilent && !m_running.activity.hasToken;
     loseAttempt(isFirstTokenLate ? FailureKind::FirstTokenTimeout : FailureKind::Silent, now);
 }
 
--- a/src/core/SilenceDetector.cpp
+++ b/src/core/SilenceDetector.cpp
@@ -43,14 +43,14 @@
     {
     }
     void observe(Milliseconds) override { }
-    Milliseconds patience() const override { return m_bounds.floor; }
+    Milliseconds silenceTimeout() const override { return m_bounds.floor; }
 
 private:
     SilenceBounds m_bounds;
 };
 
-// Base of the detectors that learn: computes the patience anew after a number of gaps, not after each. Until it knows
-// enough gaps, the ceiling holds.
+// Base of the detectors that learn: computes the silenceTimeout anew after a number of gaps, not after each. Until it
+// knows enough gaps, the ceiling holds.
 class LearningDetector : public SilenceDetector {
 public:
     LearningDetector(SilenceBounds bounds, GapWindow window)
@@ -69,7 +69,7 @@
         m_patience = std::clamp(estimate(m_window.gaps()), m_bounds.floor, m_bounds.ceiling);
     }
 
-    Milliseconds patience() const override { return m_patience; }
+    Milliseconds silenceTimeout() const override { return m_patience; }
 
 protected:
     virtual Milliseconds estimate(const std::vector<std::int64_t>& gaps) const = 0;
--- a/src/daemon/AdminHandler.cpp
+++ b/src/daemon/AdminHandler.cpp
@@ -32,7 +32,7 @@
         { "listing", nameIn(endpointListingNames, endpoint.listing()) }, { "in_flight", endpoint.inFlight() },
         { "eligible", endpoint.isEligible(now) },
         { "ejected_for_ms", std::max<std::int64_t>(0, endpoint.ejectedFor(now).count()) },
-        { "silence_patience_ms", endpoint.pulse()->patience().count() } };
+        { "silence_patience_ms", endpoint.liveness()->silenceTimeout().count() } };
 }
 
 json describeAttempt(const AttemptRecord& attempt)
--- a/src/daemon/Cluster.cpp
+++ b/src/daemon/Cluster.cpp
@@ -123,7 +123,7 @@
         const std::lock_guard lock(m_mutex);
         m_placed[source.get()] = vm;
     }
-    logDebug(LogPart::Journal, "a generation is journaled on VM " + vm + ".");
+    logDebug(LogComponent::Journal, "a generation is journaled on VM " + vm + ".");
     link->add(source);
 }
 
@@ -281,7 +281,7 @@
     if (m_hasJoined)
         return true;
     const bool hasAll = m_network->up().size() >= m_settings.peers.size();
-    m_hasJoined = hasAll || m_clock.now() - m_startedAt >= m_settings.cluster.silence;
+    m_hasJoined = hasAll || m_clock.now() - m_startedAt >= m_settings.cluster.silenceTimeout;
     return m_hasJoined;
 }
 
@@ -425,7 +425,7 @@
             refused.insert(item.handle());
     }
     if (!applyTokens(peer, batch, refused)) {
-        logError(LogPart::Journal, "a batch of VM " + peer.vm + " cannot be read; it is not acknowledged.");
+        logError(LogComponent::Journal, "a batch of VM " + peer.vm + " cannot be read; it is not acknowledged.");
         return;
     }
     for (const auto& item : batch.items()) {
--- a/src/daemon/CompletionHandler.cpp
+++ b/src/daemon/CompletionHandler.cpp
@@ -70,7 +70,7 @@
         return;
     }
     if (admission.verdict == AdmissionVerdict::Created) {
-        logWarning(LogPart::Authority,
+        logWarning(LogComponent::Authority,
             "generation " + admission.generation->id() + " is taken over: the VM that ran it is lost.");
         admission.generation->start();
     }
@@ -101,7 +101,7 @@
             "Idempotency-Key", RunOutcome::NotRun, {} };
     if (admission.verdict == AdmissionVerdict::Full)
         return JsonError { 503, "too_many_generations",
-            "this VM holds as many generations as its limit allows: " + std::to_string(settings.maxHeld), "",
+            "this VM holds as many generations as its limit allows: " + std::to_string(settings.maxGenerations), "",
             RunOutcome::NotRun, settings.retryAfter };
     const bool isNotHeld = admission.verdict == AdmissionVerdict::NotHeld;
     const bool isBeyond = !request.resumeGeneration.empty() && !isNotHeld
@@ -116,7 +116,8 @@
 
 void CompletionHandler::refuse(HttpExchange& exchange, const JsonError& error)
 {
-    logInfo(LogPart::Caller, "a request is refused with " + std::to_string(error.status) + ": " + error.message + ".");
+    logInfo(
+        LogComponent::Caller, "a request is refused with " + std::to_string(error.status) + ": " + error.message + ".");
     m_context.metrics.countRequest("completion", error.status);
     m_context.metrics.countRefusal(error.outcome);
     exchange.respond(errorResponse(error));
--- a/src/daemon/CompletionReply.cpp
+++ b/src/daemon/CompletionReply.cpp
@@ -31,7 +31,7 @@
 
 void CompletionReply::start()
 {
-    m_exchange->onGone([self = shared_from_this()] { self->callerGone(); });
+    m_exchange->onPeerDisconnected([self = shared_from_this()] { self->callerGone(); });
     m_generation->attach(shared_from_this());
 }
 
@@ -122,7 +122,7 @@
     if (m_isAnswered)
         return;
     m_isAnswered = true;
-    logInfo(LogPart::Caller,
+    logInfo(LogComponent::Caller,
         "the caller of generation " + m_generation->id() + " has gone at position " + std::to_string(m_position) + ".");
     m_generation->detach(*this);
 }
--- a/src/daemon/Daemon.cpp
+++ b/src/daemon/Daemon.cpp
@@ -94,7 +94,7 @@
         m_threads.emplace_back([this] { m_ioContext.run(); });
     m_platform->start();
     scheduleSweep();
-    logInfo(LogPart::Daemon,
+    logInfo(LogComponent::Daemon,
         "VM " + m_settings.vm.name + " in zone " + m_settings.vm.zone + " listens on port " + std::to_string(port())
             + ", for operators on port " + std::to_string(adminPort()) + ".");
     return std::nullopt;
@@ -115,14 +115,14 @@
 
 void Daemon::stop()
 {
-    logInfo(LogPart::Daemon, "a planned stop begins: not ready from now on.");
+    logInfo(LogComponent::Daemon, "a planned stop begins: not ready from now on.");
     m_adminHandler->setReady(false);
     std::this_thread::sleep_for(m_settings.vm.stopNotice);
     m_isStopping = true;
     m_listener->stopAccepting();
     waitForRequestsInProgress();
     m_platform->stop();
-    logInfo(LogPart::Daemon, "stopped.");
+    logInfo(LogComponent::Daemon, "stopped.");
 }
 
 unsigned short Daemon::port() const { return m_listener->port(); }
@@ -169,7 +169,7 @@
     const auto end = m_clock->now() + m_settings.vm.stopTimeout;
     while (m_listener->busyCount() || m_registry->runningCount()) {
         if (m_clock->now() >= end) {
-            logWarning(LogPart::Daemon,
+            logWarning(LogComponent::Daemon,
                 std::to_string(m_listener->busyCount()) + " requests are cut off: the time for the stop is over.");
             return;
         }
--- a/src/daemon/EndpointState.cpp
+++ b/src/daemon/EndpointState.cpp
@@ -4,10 +4,11 @@
 
 namespace lupinknot::internal {
 
-EndpointState::EndpointState(EndpointSettings settings, const PulseSettings& pulse, const EjectionSettings& ejection)
+EndpointState::EndpointState(
+    EndpointSettings settings, const LivenessSettings& liveness, const EjectionSettings& ejection)
     : m_settings(std::move(settings))
     , m_ejection(ejection)
-    , m_pulse(std::make_shared<EndpointPulse>(pulse))
+    , m_liveness(std::make_shared<EndpointLiveness>(liveness))
     , m_nextEjection(ejection.initial)
 {
 }
--- a/src/daemon/EndpointState.h
+++ b/src/daemon/EndpointState.h
@@ -1,7 +1,7 @@
 // What this VM knows of one endpoint.
 #pragma once
 
-#include "lupinknot/EndpointPulse.h"
+#include "lupinknot/EndpointLiveness.h"
 #include "lupinknot/FailureKind.h"
 #include "settings/DaemonSettings.h"
 #include <atomic>
@@ -26,10 +26,10 @@
 // Thread-safe: counters are atomic, the ejection has a lock of its own.
 class EndpointState {
 public:
-    EndpointState(EndpointSettings, const PulseSettings&, const EjectionSettings&);
+    EndpointState(EndpointSettings, const LivenessSettings&, const EjectionSettings&);
 
     const EndpointSettings& settings() const { return m_settings; }
-    const std::shared_ptr<EndpointPulse>& pulse() const { return m_pulse; }
+    const std::shared_ptr<EndpointLiveness>& liveness() const { return m_liveness; }
     bool servesModel(const std::string& model) const;
 
     void workStarted() { ++m_inFlight; }
@@ -53,7 +53,7 @@
 private:
     const EndpointSettings m_settings;
     const EjectionSettings m_ejection;
-    const std::shared_ptr<EndpointPulse> m_pulse;
+    const std::shared_ptr<EndpointLiveness> m_liveness;
     std::atomic<int> m_inFlight { 0 };
     std::atomic<EndpointListing> m_listing { EndpointListing::Live };
     mutable std::mutex m_mutex;
--- a/src/daemon/EndpointTable.cpp
+++ b/src/daemon/EndpointTable.cpp
@@ -20,7 +20,7 @@
     , m_zone(settings.vm.zone)
 {
     for (const auto& endpoint : settings.endpoints) {
-        auto state = std::make_shared<EndpointState>(endpoint, settings.silence.pulse(), settings.ejection);
+        auto state = std::make_shared<EndpointState>(endpoint, settings.silence.liveness(), settings.ejection);
         m_endpoints.push_back(state);
         m_byName.emplace(endpoint.name, state);
         for (const auto& model : endpoint.models)
@@ -58,7 +58,7 @@
         if (!endpoint || endpoint->listing() == entry.listing)
             continue;
         endpoint->setListing(entry.listing);
-        logInfo(LogPart::Membership,
+        logInfo(LogComponent::Membership,
             "endpoint " + entry.name + " is now listed as " + std::string(nameIn(endpointListingNames, entry.listing))
                 + ".");
     }
@@ -78,7 +78,7 @@
     }
     if (!best)
         return probe(candidates, query);
-    logInfo(LogPart::Route,
+    logInfo(LogComponent::Route,
         query.subject + " goes to " + best->settings().name + ": " + std::to_string(best->inFlight())
             + " in flight, zone " + best->settings().zone + ", " + std::to_string(eligible) + " of "
             + std::to_string(candidates.size()) + " eligible.");
@@ -90,12 +90,12 @@
     for (const auto& candidate : candidates) {
         if (isAvoided(*candidate, query) || !candidate->takeProbe(m_clock.now()))
             continue;
-        logInfo(LogPart::Route,
+        logInfo(LogComponent::Route,
             query.subject + " probes " + candidate->settings().name + ": none of " + std::to_string(candidates.size())
                 + " is eligible.");
         return candidate;
     }
-    logDebug(LogPart::Route,
+    logDebug(LogComponent::Route,
         query.subject + " has no endpoint: none of " + std::to_string(candidates.size()) + " is eligible.");
     return nullptr;
 }
--- a/src/daemon/EngineAttempt.cpp
+++ b/src/daemon/EngineAttempt.cpp
@@ -38,7 +38,7 @@
 
 void EngineAttempt::cancel() { m_call->cancel(); }
 
-void EngineAttempt::headArrived(unsigned status, const HttpHeaders&)
+void EngineAttempt::headerArrived(unsigned status, const HttpHeaders&)
 {
     if (status == statusOk)
         m_generation->attemptAccepted(m_number);
--- a/src/daemon/EngineAttempt.h
+++ b/src/daemon/EngineAttempt.h
@@ -27,7 +27,7 @@
     // The engine has ended the stream itself.
     bool isFinished() const { return m_isFinished; }
 
-    void headArrived(unsigned status, const HttpHeaders&) override;
+    void headerArrived(unsigned status, const HttpHeaders&) override;
     void bodyArrived(std::string_view piece) override;
     void ended() override;
     void failed(HttpCallFailure, const std::string& message) override;
--- a/src/daemon/ForwardedRequest.cpp
+++ b/src/daemon/ForwardedRequest.cpp
@@ -29,7 +29,7 @@
 
 void ForwardedRequest::start(const SocketAddress& address, unsigned hops)
 {
-    m_exchange->onGone([self = shared_from_this()] { self->callerGone(); });
+    m_exchange->onPeerDisconnected([self = shared_from_this()] { self->callerGone(); });
     const auto& incoming = m_exchange->request();
     HttpRequest outgoing { incoming.method, incoming.target, {}, incoming.body };
     const auto kept = incoming.headers.endToEnd();
@@ -48,7 +48,7 @@
     m_context.cluster.watch(m_vm, shared_from_this());
 }
 
-void ForwardedRequest::headArrived(unsigned status, const HttpHeaders& headers)
+void ForwardedRequest::headerArrived(unsigned status, const HttpHeaders& headers)
 {
     const std::lock_guard lock(m_mutex);
     m_response = { status, headers.endToEnd(), {} };
@@ -80,7 +80,7 @@
 void ForwardedRequest::failed(HttpCallFailure failure, const std::string&)
 {
     const std::lock_guard lock(m_mutex);
-    logWarning(LogPart::Caller,
+    logWarning(LogComponent::Caller,
         "a request passed on to VM " + m_vm + " broke off: " + std::string(nameIn(httpCallFailureNames, failure))
             + ".");
     if (m_isStream) {
--- a/src/daemon/ForwardedRequest.h
+++ b/src/daemon/ForwardedRequest.h
@@ -34,7 +34,7 @@
     void onLost(std::function<void()> callback) { m_onLost = std::move(callback); }
     void start(const SocketAddress&, unsigned hops);
 
-    void headArrived(unsigned status, const HttpHeaders&) override;
+    void headerArrived(unsigned status, const HttpHeaders&) override;
     void bodyArrived(std::string_view piece) override;
     void ended() override;
     void failed(HttpCallFailure, const std::string& message) override;
--- a/src/daemon/GenerationRegistry.cpp
+++ b/src/daemon/GenerationRegistry.cpp
@@ -59,7 +59,7 @@
     }
     if (!request.resumeGeneration.empty())
         return { AdmissionVerdict::NotHeld, nullptr };
-    if (m_heldCount >= static_cast<std::size_t>(m_context.settings.generation.maxHeld))
+    if (m_heldCount >= static_cast<std::size_t>(m_context.settings.generation.maxGenerations))
         return { AdmissionVerdict::Full, nullptr };
     auto generation = std::make_shared<LiveGeneration>(m_context, request, id);
     shard.byKey.emplace(key, generation);
--- a/src/daemon/KeyedRequestRouter.cpp
+++ b/src/daemon/KeyedRequestRouter.cpp
@@ -75,7 +75,7 @@
 void KeyedRequestRouter::forward(const std::shared_ptr<HttpExchange>& exchange, const std::string& key,
     const KeyedRequestActions& actions, unsigned tries, const PeerIdentity& target) const
 {
-    logInfo(LogPart::Route, "a request with a key goes to VM " + target.vm + ", which is responsible for it.");
+    logInfo(LogComponent::Route, "a request with a key goes to VM " + target.vm + ", which is responsible for it.");
     const auto forwarded = std::make_shared<ForwardedRequest>(m_context, exchange, target.vm);
     // The links between VMs show a loss a little later than the call does.
     forwarded->onLost([this, exchange, key, actions, tries] {
--- a/src/daemon/KeyedServiceCall.h
+++ b/src/daemon/KeyedServiceCall.h
@@ -45,7 +45,7 @@
     void stream(HttpResponse, std::shared_ptr<HttpBodySource>) override { }
     void wake() override { }
     void abort() override { }
-    void onGone(std::function<void()>) override { }
+    void onPeerDisconnected(std::function<void()>) override { }
 
     // JournalSource.
     const std::string& journalKey() const override { return m_key; }
--- a/src/daemon/LiveGeneration.cpp
+++ b/src/daemon/LiveGeneration.cpp
@@ -99,9 +99,9 @@
     m_graceTimer.cancel();
     const bool wasOver = m_driver.isOver();
     const auto now = m_context.clock.now();
-    m_driver.revive(now, now + m_request.timeLimit);
+    m_driver.resumeAbandoned(now, now + m_request.timeLimit);
     if (wasOver && !m_driver.isOver()) {
-        logInfo(LogPart::Caller,
+        logInfo(LogComponent::Caller,
             "generation " + m_id + " goes on at position " + std::to_string(m_driver.generation().length())
                 + ": a caller has come back.");
         m_endedAt.reset();
@@ -184,7 +184,7 @@
         return;
     }
     m_endpoint = endpoint;
-    m_driver.startAttached({ attempt->endpoint, endpoint->pulse() }, now);
+    m_driver.startAttached({ attempt->endpoint, endpoint->liveness() }, now);
 }
 
 std::size_t LiveGeneration::visibleLength() const
@@ -257,10 +257,10 @@
 void LiveGeneration::journalUnprotected()
 {
     const std::lock_guard lock(m_mutex);
-    const bool mayGoOn = m_request.repeatable && m_context.settings.journal.goOnUnprotected;
+    const bool mayGoOn = m_request.repeatable && m_context.settings.journal.continuesWithoutPeers;
     // What has begun goes on: a caller is better served by an answer that could be lost than by none.
     const bool mustStop = !m_driver.isStarted() && !mayGoOn;
-    logWarning(LogPart::Journal,
+    logWarning(LogComponent::Journal,
         "generation " + m_id + (mustStop ? " is refused" : " goes on unprotected") + ": no other VM can be reached.");
     m_isUnprotected = true;
     if (mustStop)
@@ -272,7 +272,7 @@
 {
     m_context.cluster.detach(*this);
     const std::lock_guard lock(m_mutex);
-    logWarning(LogPart::Journal, "generation " + m_id + " stops here: another VM runs it now.");
+    logWarning(LogComponent::Journal, "generation " + m_id + " stops here: another VM runs it now.");
     m_driver.stop(GenerationErrorCode::TakenOver);
     afterEvent();
 }
@@ -318,7 +318,7 @@
             continue;
         }
         m_context.metrics.refusedTokens.Increment();
-        logInfo(LogPart::Attempt,
+        logInfo(LogComponent::Attempt,
             attemptText(attempt) + " has a token refused at position " + std::to_string(position - 1) + ": "
                 + std::string(nameIn(appendResultNames, result)) + ".");
         break;
@@ -347,7 +347,7 @@
     if (!endpoint)
         return std::nullopt;
     m_endpoint = endpoint;
-    return EndpointChoice { endpoint->settings().name, endpoint->pulse() };
+    return EndpointChoice { endpoint->settings().name, endpoint->liveness() };
 }
 
 void LiveGeneration::startAttempt(const AttemptOrder& order)
@@ -366,7 +366,7 @@
     }
     m_journaledAttempt = JournaledAttempt { order.number, order.endpoint, streamId(order.number), order.position };
     m_attempt = std::make_shared<EngineAttempt>(shared_from_this(), order, order.position);
-    const auto keep = isJournaled() ? m_context.settings.journal.keepStream : Milliseconds::zero();
+    const auto keep = isJournaled() ? m_context.settings.journal.detachedRunTime : Milliseconds::zero();
     const auto message = engineRequest(m_request, { streamId(order.number), keep }, prefix());
     m_attempt->start(m_context.calls, m_endpoint->settings().socketAddress(), message, callTimeout);
 }
@@ -388,7 +388,7 @@
     if (!end.failure)
         return;
     m_context.metrics.countFailure(*end.failure);
-    logWarning(LogPart::Attempt,
+    logWarning(LogComponent::Attempt,
         attemptText(end.number) + " on " + end.endpoint + " failed at position "
             + std::to_string(m_driver.generation().length()) + ": " + std::string(traitsOf(*end.failure).name) + ".");
 }
@@ -400,7 +400,7 @@
     m_context.metrics.resumeAfterDetection.Observe(static_cast<double>(report.sinceDetection.count()));
     m_records.back().resumeGap = report.gap;
     m_records.back().resumeAfterDetection = report.sinceDetection;
-    logInfo(LogPart::Attempt,
+    logInfo(LogComponent::Attempt,
         attemptText(report.number) + " resumed at position " + std::to_string(report.position) + ", "
             + std::to_string(report.gap.count()) + " ms after the last token and "
             + std::to_string(report.sinceDetection.count()) + " ms after the loss was noticed.");
@@ -413,7 +413,7 @@
 {
     class Nobody final : public HttpCallListener {
     public:
-        void headArrived(unsigned, const HttpHeaders&) override { }
+        void headerArrived(unsigned, const HttpHeaders&) override { }
         void bodyArrived(std::string_view) override { }
         void ended() override { }
         void failed(HttpCallFailure, const std::string&) override { }
@@ -445,7 +445,7 @@
     if (m_driver.isOver() && !m_endedAt) {
         m_endedAt = m_context.clock.now();
         if (const auto& error = m_driver.error())
-            logWarning(LogPart::Caller,
+            logWarning(LogComponent::Caller,
                 "generation " + m_id + " was given up: " + error->message + " ("
                     + std::string(nameIn(runOutcomeNames, error->outcome)) + ").");
     }
@@ -508,7 +508,7 @@
     m_context.metrics.callersGone.Increment();
     const bool canComeBack = !m_request.idempotencyKey.empty();
     if (canComeBack && !m_request.repeatable) {
-        logInfo(LogPart::Caller, "generation " + m_id + " runs on without a caller: it must not be repeated.");
+        logInfo(LogComponent::Caller, "generation " + m_id + " runs on without a caller: it must not be repeated.");
         return;
     }
     const auto grace = canComeBack ? m_context.settings.generation.detachedGrace : Milliseconds::zero();
@@ -530,7 +530,7 @@
 {
     if (!m_watchers.empty() || m_driver.isOver())
         return;
-    logInfo(LogPart::Caller,
+    logInfo(LogComponent::Caller,
         "generation " + m_id + " is cancelled at position " + std::to_string(m_driver.generation().length())
             + ": the caller has gone.");
     m_driver.abandon();
--- a/src/daemon/PlatformReader.cpp
+++ b/src/daemon/PlatformReader.cpp
@@ -68,7 +68,7 @@
     return m_context.clock.now() - *m_lastReading;
 }
 
-void PlatformReader::headArrived(unsigned status, const HttpHeaders&)
+void PlatformReader::headerArrived(unsigned status, const HttpHeaders&)
 {
     const std::lock_guard lock(m_mutex);
     m_status = status;
@@ -131,15 +131,15 @@
     m_endpoints.applyListing(*entries);
     m_lastReading = m_context.clock.now();
     if (m_isFailing)
-        logInfo(LogPart::Platform, "the platform's list can be read again.");
+        logInfo(LogComponent::Platform, "the platform's list can be read again.");
     m_isFailing = false;
 }
 
 void PlatformReader::noteFailure(const std::string& reason)
 {
     if (!m_isFailing && !m_isStopped)
-        logWarning(
-            LogPart::Platform, "the platform's list cannot be read (" + reason + "); the last reading stays in force.");
+        logWarning(LogComponent::Platform,
+            "the platform's list cannot be read (" + reason + "); the last reading stays in force.");
     m_isFailing = true;
 }
 
--- a/src/daemon/PlatformReader.h
+++ b/src/daemon/PlatformReader.h
@@ -25,7 +25,7 @@
     // The age of the last good reading; nothing when there was none.
     std::optional<Milliseconds> age() const;
 
-    void headArrived(unsigned status, const HttpHeaders&) override;
+    void headerArrived(unsigned status, const HttpHeaders&) override;
     void bodyArrived(std::string_view piece) override;
     void ended() override;
     void failed(HttpCallFailure, const std::string& message) override;
--- a/src/daemon/ServiceCall.cpp
+++ b/src/daemon/ServiceCall.cpp
@@ -40,14 +40,14 @@
 
 void ServiceCall::start()
 {
-    m_exchange->onGone([self = shared_from_this()] { self->cancel(); });
+    m_exchange->onPeerDisconnected([self = shared_from_this()] { self->cancel(); });
     const std::lock_guard lock(m_mutex);
     // A caller can be gone before the call begins.
     if (!m_isOver)
         tryNext();
 }
 
-void ServiceCall::headArrived(unsigned status, const HttpHeaders& headers)
+void ServiceCall::headerArrived(unsigned status, const HttpHeaders& headers)
 {
     const std::lock_guard lock(m_mutex);
     m_response.status = status;
@@ -86,7 +86,7 @@
     const std::lock_guard lock(m_mutex);
     if (m_isOver)
         return;
-    logWarning(LogPart::Service,
+    logWarning(LogComponent::Service,
         subject() + " failed on " + m_endpoint->settings().name + ": "
             + std::string(nameIn(httpCallFailureNames, failure)) + " (" + message + ").");
     m_mayHaveRun = m_mayHaveRun || failure != HttpCallFailure::NotConnected;
@@ -139,8 +139,8 @@
     m_isOver = true;
     m_context.metrics.countRequest(requestKind, error.status);
     m_context.metrics.countRefusal(error.outcome);
-    logInfo(
-        LogPart::Service, subject() + " is refused with " + std::to_string(error.status) + ": " + error.message + ".");
+    logInfo(LogComponent::Service,
+        subject() + " is refused with " + std::to_string(error.status) + ": " + error.message + ".");
     m_exchange->respond(errorResponse(error));
 }
 
--- a/src/daemon/ServiceCall.h
+++ b/src/daemon/ServiceCall.h
@@ -26,7 +26,7 @@
 
     void start();
 
-    void headArrived(unsigned status, const HttpHeaders&) override;
+    void headerArrived(unsigned status, const HttpHeaders&) override;
     void bodyArrived(std::string_view piece) override;
     void ended() override;
     void failed(HttpCallFailure, const std::string& message) override;
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -54,7 +54,7 @@
 
     Daemon daemon(settings);
     if (const auto problem = daemon.start()) {
-        logError(LogPart::Daemon, *problem + ".");
+        logError(LogComponent::Daemon, *problem + ".");
         return exitNotStarted;
     }
     std::thread([&daemon, signals] {
--- a/src/endpoint/EndpointOpening.h
+++ b/src/endpoint/EndpointAvailability.h
@@ -5,10 +5,10 @@
 
 namespace lupinknot::internal {
 
-struct EndpointOpening {
+struct EndpointAvailability {
     Milliseconds at { 0 };
     // What it waits for: the end of the endpoint's rest, or else a permit.
-    bool isAfterRest { false };
+    bool isAfterBackOff { false };
 };
 
 } // namespace lupinknot::internal
--- a/src/endpoint/EndpointSignals.cpp
+++ b/src/endpoint/EndpointSignals.cpp
@@ -5,11 +5,11 @@
 
 namespace lupinknot::internal {
 
-bool EndpointSignals::noteRest(Milliseconds time, Milliseconds now)
+bool EndpointSignals::noteBackOff(Milliseconds time, Milliseconds now)
 {
     const auto until = now + time;
-    const bool isLonger = until > std::max(m_restsUntil, now);
-    m_restsUntil = std::max(m_restsUntil, until);
+    const bool isLonger = until > std::max(m_backOffUntil, now);
+    m_backOffUntil = std::max(m_backOffUntil, until);
     return isLonger;
 }
 
@@ -17,7 +17,7 @@
 
 void EndpointSignals::merge(const EndpointSignals& earlier)
 {
-    m_restsUntil = std::max(m_restsUntil, earlier.m_restsUntil);
+    m_backOffUntil = std::max(m_backOffUntil, earlier.m_backOffUntil);
     m_isLeaving = m_isLeaving || earlier.m_isLeaving;
 }
 
--- a/src/http/ClientConnection.cpp
+++ b/src/http/ClientConnection.cpp
@@ -78,7 +78,7 @@
         if (isInterim())
             return;
         if (const auto listener = m_listener.lock())
-            listener->answerHead(m_head);
+            listener->responseHeaderReceived(m_head);
     }
 
     void on_body_init_impl(const boost::optional<std::uint64_t>&, beast::error_code&) override { }
@@ -86,7 +86,7 @@
     std::size_t on_body_impl(beast::string_view body, beast::error_code&) override
     {
         if (const auto listener = m_listener.lock())
-            listener->answerBody({ body.data(), body.size() });
+            listener->responseBodyReceived({ body.data(), body.size() });
         return body.size();
     }
 
@@ -256,7 +256,7 @@
     const bool keepsAlive = m_parser->keep_alive() && !m_parser->need_eof();
     noteKeepAlive();
     const auto listener = m_listener.lock();
-    const bool wantsNext = listener && listener->answerEnd();
+    const bool wantsNext = listener && listener->responseEnded();
     if (m_state != State::Busy)
         return;
     if (wantsNext && keepsAlive) {
@@ -265,7 +265,7 @@
         return;
     }
     if (wantsNext) {
-        fail(ClientFailure::ClosedBeforeAnswer);
+        fail(ClientFailure::ClosedBeforeResponse);
         return;
     }
     if (!keepsAlive || !m_received.empty() || m_isWriting) {
@@ -301,7 +301,7 @@
         return;
     }
     if (!m_hasAnswerBytes) {
-        fail(ClientFailure::ClosedBeforeAnswer);
+        fail(ClientFailure::ClosedBeforeResponse);
         return;
     }
     // An answer without a length ends with an orderly close; a reset breaks it off.
--- a/src/http/ClientConnection.h
+++ b/src/http/ClientConnection.h
@@ -5,8 +5,8 @@
 //
 //     auto connection = ClientConnection::open(ioContext, address, settings);
 //     connection->send(request, listener);     // Connects first if it has to.
-//     ...                                      // listener->answerHead(), answerBody(), answerEnd()
-//     if (connection->isIdle()) ...            // May carry the next request.
+//     ...                                      // listener->responseHeaderReceived(), responseBodyReceived(),
+//     responseEnded() if (connection->isIdle()) ...            // May carry the next request.
 //
 // An idle connection keeps reading: bytes that nobody asked for, or the peer's close, end it.
 // Not thread-safe: all calls and callbacks are made on the one thread that runs the io_context. Owned by its user and
@@ -28,14 +28,14 @@
 
 enum class ClientFailure {
     NotConnected, // No connection came about: nothing was sent.
-    ClosedBeforeAnswer, // The peer closed or reset the connection before the answer's first byte.
+    ClosedBeforeResponse, // The peer closed or reset the connection before the answer's first byte.
     Truncated, // The answer broke off.
     Malformed, // Bytes came that are not an answer.
 };
 
 inline constexpr std::array<EnumName<ClientFailure>, 4> clientFailureNames { {
     { ClientFailure::NotConnected, "not-connected" },
-    { ClientFailure::ClosedBeforeAnswer, "closed-before-answer" },
+    { ClientFailure::ClosedBeforeResponse, "closed-before-answer" },
     { ClientFailure::Truncated, "truncated" },
     { ClientFailure::Malformed, "malformed" },
 } };
@@ -44,10 +44,10 @@
 class ClientConnectionListener {
 public:
     virtual ~ClientConnectionListener() = default;
-    virtual void answerHead(const HttpResponse& head) = 0;
-    virtual void answerBody(std::string_view piece) = 0;
+    virtual void responseHeaderReceived(const HttpResponse& head) = 0;
+    virtual void responseBodyReceived(std::string_view piece) = 0;
     // The answer is whole. Returns true when it was not the one asked for and the next one is to be awaited.
-    virtual bool answerEnd() = 0;
+    virtual bool responseEnded() = 0;
     // The connection is closed. Called at most once, and not after close().
     virtual void connectionFailed(ClientFailure) = 0;
 };
--- a/src/http/HttpCall.cpp
+++ b/src/http/HttpCall.cpp
@@ -77,7 +77,7 @@
     {
         m_response = std::move(response);
         m_body = m_response.body().streambuf();
-        m_listener->headArrived(m_response.status_code(), headersOf(m_response));
+        m_listener->headerArrived(m_response.status_code(), headersOf(m_response));
         readNext();
     }
 
--- a/src/http/HttpCallGroup.cpp
+++ b/src/http/HttpCallGroup.cpp
@@ -24,7 +24,10 @@
     Tracker(const Tracker&) = delete;
     Tracker& operator=(const Tracker&) = delete;
 
-    void headArrived(unsigned status, const HttpHeaders& headers) override { m_listener->headArrived(status, headers); }
+    void headerArrived(unsigned status, const HttpHeaders& headers) override
+    {
+        m_listener->headerArrived(status, headers);
+    }
     void bodyArrived(std::string_view piece) override { m_listener->bodyArrived(piece); }
     void ended() override { m_listener->ended(); }
     void failed(HttpCallFailure failure, const std::string& message) override { m_listener->failed(failure, message); }
--- a/src/http/HttpCallListener.h
+++ b/src/http/HttpCallListener.h
@@ -25,7 +25,7 @@
 class HttpCallListener {
 public:
     virtual ~HttpCallListener() = default;
-    virtual void headArrived(unsigned status, const HttpHeaders&) = 0;
+    virtual void headerArrived(unsigned status, const HttpHeaders&) = 0;
     virtual void bodyArrived(std::string_view piece) = 0;
     virtual void ended() = 0;
     virtual void failed(HttpCallFailure, const std::string& message) = 0;
--- a/src/http/HttpExchange.h
+++ b/src/http/HttpExchange.h
@@ -25,7 +25,7 @@
     // Closes the connection in the middle of the response, so that the peer knows that it is not whole.
     virtual void abort() = 0;
     // Sets what to call, once, when the peer goes away before the response is complete.
-    virtual void onGone(std::function<void()>) = 0;
+    virtual void onPeerDisconnected(std::function<void()>) = 0;
 };
 
 } // namespace lupinknot::internal
--- a/src/http/HttpFetch.cpp
+++ b/src/http/HttpFetch.cpp
@@ -13,7 +13,7 @@
 // Collects the response and wakes the waiting thread at its end.
 class Collector final : public HttpCallListener {
 public:
-    void headArrived(unsigned status, const HttpHeaders& headers) override
+    void headerArrived(unsigned status, const HttpHeaders& headers) override
     {
         const std::lock_guard lock(m_mutex);
         m_result.response.status = status;
--- a/src/http/HttpQuestion.cpp
+++ b/src/http/HttpRoundTrip.cpp
@@ -1,13 +1,13 @@
-#include "http/HttpQuestion.h"
+#include "http/HttpRoundTrip.h"
 
 #include <boost/asio/post.hpp>
 
 namespace lupinknot::internal {
 
-std::shared_ptr<HttpQuestion> HttpQuestion::ask(boost::asio::io_context& ioContext,
+std::shared_ptr<HttpRoundTrip> HttpRoundTrip::ask(boost::asio::io_context& ioContext,
     std::shared_ptr<ClientConnection> connection, const HttpRequest& request, Milliseconds limit, Callback callback)
 {
-    std::shared_ptr<HttpQuestion> question(new HttpQuestion(ioContext, std::move(connection), std::move(callback)));
+    std::shared_ptr<HttpRoundTrip> question(new HttpRoundTrip(ioContext, std::move(connection), std::move(callback)));
     question->m_connection->send(request, question->weak_from_this());
     question->m_timer.expires_after(limit);
     question->m_timer.async_wait([weak = question->weak_from_this()](boost::system::error_code error) {
@@ -18,7 +18,7 @@
     return question;
 }
 
-HttpQuestion::HttpQuestion(
+HttpRoundTrip::HttpRoundTrip(
     boost::asio::io_context& ioContext, std::shared_ptr<ClientConnection> connection, Callback callback)
     : m_ioContext(ioContext)
     , m_connection(std::move(connection))
@@ -27,21 +27,21 @@
 {
 }
 
-HttpQuestion::~HttpQuestion()
+HttpRoundTrip::~HttpRoundTrip()
 {
     if (m_callback)
         m_connection->close();
 }
 
-void HttpQuestion::answerHead(const HttpResponse& head)
+void HttpRoundTrip::responseHeaderReceived(const HttpResponse& head)
 {
     m_answer.status = head.status;
     m_answer.headers = head.headers;
 }
 
-void HttpQuestion::answerBody(std::string_view piece) { m_answer.body.append(piece); }
+void HttpRoundTrip::responseBodyReceived(std::string_view piece) { m_answer.body.append(piece); }
 
-bool HttpQuestion::answerEnd()
+bool HttpRoundTrip::responseEnded()
 {
     m_isAnswered = true;
     m_timer.cancel();
@@ -53,9 +53,9 @@
     return false;
 }
 
-void HttpQuestion::connectionFailed(ClientFailure failure) { fail(nameIn(clientFailureNames, failure)); }
+void HttpRoundTrip::connectionFailed(ClientFailure failure) { fail(nameIn(clientFailureNames, failure)); }
 
-void HttpQuestion::fail(std::string_view problem)
+void HttpRoundTrip::fail(std::string_view problem)
 {
     if (m_isAnswered)
         return;
@@ -64,7 +64,7 @@
     settle({ nullptr, problem });
 }
 
-void HttpQuestion::settle(const HttpOutcome& outcome)
+void HttpRoundTrip::settle(const HttpRoundTripResult& outcome)
 {
     const auto self = shared_from_this();
     if (const auto callback = std::exchange(m_callback, nullptr))
--- a/src/http/HttpQuestion.h
+++ b/src/http/HttpRoundTrip.h
@@ -1,6 +1,7 @@
 // One request on a client connection, with a time limit for the whole answer.
 //
-//     auto question = HttpQuestion::ask(ioContext, connection, request, limit, [](const HttpOutcome& outcome) {
+//     auto question = HttpRoundTrip::ask(ioContext, connection, request, limit, [](const HttpRoundTripResult& outcome)
+//     {
 //         if (outcome.answer) ...
 //     });
 //
@@ -16,32 +17,32 @@
 
 namespace lupinknot::internal {
 
-struct HttpOutcome {
+struct HttpRoundTripResult {
     // Null when no whole answer came in time.
     const HttpResponse* answer { nullptr };
     // Why there is none, for logs.
     std::string_view problem;
 };
 
-class HttpQuestion final : public ClientConnectionListener, public std::enable_shared_from_this<HttpQuestion> {
+class HttpRoundTrip final : public ClientConnectionListener, public std::enable_shared_from_this<HttpRoundTrip> {
 public:
-    using Callback = std::function<void(const HttpOutcome&)>;
+    using Callback = std::function<void(const HttpRoundTripResult&)>;
 
-    static std::shared_ptr<HttpQuestion> ask(
+    static std::shared_ptr<HttpRoundTrip> ask(
         boost::asio::io_context&, std::shared_ptr<ClientConnection>, const HttpRequest&, Milliseconds limit, Callback);
-    ~HttpQuestion() override;
-    HttpQuestion(const HttpQuestion&) = delete;
-    HttpQuestion& operator=(const HttpQuestion&) = delete;
+    ~HttpRoundTrip() override;
+    HttpRoundTrip(const HttpRoundTrip&) = delete;
+    HttpRoundTrip& operator=(const HttpRoundTrip&) = delete;
 
-    void answerHead(const HttpResponse&) override;
-    void answerBody(std::string_view) override;
-    bool answerEnd() override;
+    void responseHeaderReceived(const HttpResponse&) override;
+    void responseBodyReceived(std::string_view) override;
+    bool responseEnded() override;
     void connectionFailed(ClientFailure) override;
 
 private:
-    HttpQuestion(boost::asio::io_context&, std::shared_ptr<ClientConnection>, Callback);
+    HttpRoundTrip(boost::asio::io_context&, std::shared_ptr<ClientConnection>, Callback);
     void fail(std::string_view problem);
-    void settle(const HttpOutcome&);
+    void settle(const HttpRoundTripResult&);
 
     boost::asio::io_context& m_ioContext;
     const std::shared_ptr<ClientConnection> m_connection;
--- a/src/http/HttpServer.cpp
+++ b/src/http/HttpServer.cpp
@@ -123,7 +123,7 @@
         if (m_isClosed)
             return;
         if (error) {
-            logWarning(LogPart::Listener, "accept failed: " + error.message() + ".");
+            logWarning(LogComponent::Listener, "accept failed: " + error.message() + ".");
         } else {
             open(std::move(socket));
         }
--- a/src/http/HttpSession.cpp
+++ b/src/http/HttpSession.cpp
@@ -107,7 +107,7 @@
         });
     }
 
-    void onGone(std::function<void()> callback) override
+    void onPeerDisconnected(std::function<void()> callback) override
     {
         net::post(m_executor, [self = shared_from_this(), callback = std::move(callback)] {
             if (self->m_isGone)
--- a/src/limits/EndpointKeepers.h
+++ b/src/limits/EndpointKeepers.h
@@ -1,6 +1,6 @@
 // Says which VMs count for an endpoint under a limit, the first one and those that stand in for it.
 //
-//     const auto numbers = chooseEndpointKeepers(startName, names, zones);
+//     const auto numbers = chooseEndpointKeepers(incarnationName, names, zones);
 //
 // Rendezvous hashing, so that all VMs work the same ones out. Each lies in another availability zone than those before
 // it, if there is one: a zone that is cut off must not take all of them from the others.
--- a/src/limits/KeeperWatch.cpp
+++ b/src/limits/KeeperReachability.cpp
@@ -1,4 +1,4 @@
-#include "limits/KeeperWatch.h"
+#include "limits/KeeperReachability.h"
 
 #include "limits/LimitKeeper.h"
 
@@ -6,13 +6,13 @@
 
 namespace lupinknot::internal {
 
-bool KeeperWatch::isPassedOver(const std::string& name, Milliseconds now) const
+bool KeeperReachability::isSkipped(const std::string& name, Milliseconds now) const
 {
     const auto silent = m_silent.find(name);
     return silent != m_silent.end() && now - silent->second.askedLastAt < passedOverFor;
 }
 
-bool KeeperWatch::noteAnswer(const std::string& name, bool hasAnswered, Milliseconds now)
+bool KeeperReachability::noteAnswer(const std::string& name, bool hasAnswered, Milliseconds now)
 {
     if (hasAnswered) {
         m_silent.erase(name);
@@ -23,13 +23,13 @@
     return isNew;
 }
 
-double KeeperWatch::shareOfSubstitute(const std::vector<std::string>& before, Milliseconds now) const
+double KeeperReachability::shareAsSubstitute(const std::vector<std::string>& before, Milliseconds now) const
 {
     const auto isGone = [this, now](const std::string& name) {
         const auto silent = m_silent.find(name);
-        return silent != m_silent.end() && now - silent->second.since >= goneAfter;
+        return silent != m_silent.end() && now - silent->second.since >= presumedGoneAfter;
     };
-    return std::all_of(before.begin(), before.end(), isGone) ? LimitKeeper::wholeShare : LimitKeeper::substituteShare;
+    return std::all_of(before.begin(), before.end(), isGone) ? LimitKeeper::primaryShare : LimitKeeper::substituteShare;
 }
 
 } // namespace lupinknot::internal
--- a/src/limits/KeeperWatch.h
+++ b/src/limits/KeeperReachability.h
@@ -4,8 +4,8 @@
 // Load pattern: the first VM that counts is killed, stands still or is cut off from some VMs, while others still ask
 // it. Those that do not reach it ask the next one, so that for a while two VMs count for the same endpoint.
 //
-//     if (!watch.isPassedOver(name, now)) ...                 // Ask it, then watch.noteAnswer(name, hasAnswered, now).
-//     const auto share = watch.shareOfSubstitute({ first }, now);
+//     if (!watch.isSkipped(name, now)) ...                 // Ask it, then watch.noteAnswer(name, hasAnswered, now).
+//     const auto share = watch.shareAsSubstitute({ first }, now);
 //
 // Without input or output; not thread-safe.
 #pragma once
@@ -17,19 +17,19 @@
 
 namespace lupinknot::internal {
 
-class KeeperWatch {
+class KeeperReachability {
 public:
     // One that has not answered is asked again after this time.
     static constexpr Milliseconds passedOverFor { 2000 };
     // One that has not answered for this long has probably gone, and permits that it gave have been used.
-    static constexpr Milliseconds goneAfter { 4000 };
+    static constexpr Milliseconds presumedGoneAfter { 4000 };
 
-    bool isPassedOver(const std::string& name, Milliseconds now) const;
+    bool isSkipped(const std::string& name, Milliseconds now) const;
     // Returns true when the VM had answered until now and does not any more.
     bool noteAnswer(const std::string& name, bool hasAnswered, Milliseconds now);
     // The share of a limit that this VM gives out when those before it do not answer everybody: all of it once it has
     // not reached any of them for long.
-    double shareOfSubstitute(const std::vector<std::string>& before, Milliseconds now) const;
+    double shareAsSubstitute(const std::vector<std::string>& before, Milliseconds now) const;
 
 private:
     // A VM that has not answered.
--- a/src/limits/HeardLimit.cpp
+++ b/src/limits/KnownLimit.cpp
@@ -1,8 +1,8 @@
-#include "limits/HeardLimit.h"
+#include "limits/KnownLimit.h"
 
 namespace lupinknot::internal {
 
-LimitChange HeardLimit::noteAnswer(std::optional<double> perSecond, Milliseconds sentAt, Milliseconds now)
+LimitChange KnownLimit::noteAnswer(std::optional<double> perSecond, Milliseconds sentAt, Milliseconds now)
 {
     const bool isNews = perSecond || (m_perSecond && sentAt >= m_heardAt);
     if (!isNews)
@@ -12,12 +12,12 @@
     return change == LimitChange::None && !wasBelieved ? LimitChange::Confirmed : change;
 }
 
-LimitChange HeardLimit::noteNews(std::optional<double> perSecond, Milliseconds heardAt)
+LimitChange KnownLimit::notePeerReport(std::optional<double> perSecond, Milliseconds heardAt)
 {
     return heardAt > m_heardAt ? set(perSecond, heardAt) : LimitChange::None;
 }
 
-LimitChange HeardLimit::set(std::optional<double> perSecond, Milliseconds heardAt)
+LimitChange KnownLimit::set(std::optional<double> perSecond, Milliseconds heardAt)
 {
     const auto before = m_perSecond;
     m_perSecond = perSecond;
--- a/src/limits/HeardLimit.h
+++ b/src/limits/KnownLimit.h
@@ -32,7 +32,7 @@
     { LimitChange::Confirmed, "confirmed" },
 } };
 
-class HeardLimit {
+class KnownLimit {
 public:
     // A limit that was not heard for so long may have changed.
     static constexpr Milliseconds believedFor { 1000 };
@@ -45,7 +45,7 @@
     // Takes over what an answer says that came now to a request sent at the instant.
     LimitChange noteAnswer(std::optional<double> perSecond, Milliseconds sentAt, Milliseconds now);
     // Takes over what another VM heard at the instant, if it is newer.
-    LimitChange noteNews(std::optional<double> perSecond, Milliseconds heardAt);
+    LimitChange notePeerReport(std::optional<double> perSecond, Milliseconds heardAt);
 
 private:
     LimitChange set(std::optional<double> perSecond, Milliseconds heardAt);
--- a/src/limits/LimitKeeper.cpp
+++ b/src/limits/LimitKeeper.cpp
@@ -20,7 +20,7 @@
 // Beyond this many, more than all VMs of a fleet, those that ask are told the time of the last one.
 constexpr std::size_t mostReturns = 1000;
 
-LimitNews newsOf(const HeardLimit& limit, Milliseconds now) { return { limit.perSecond(), now - limit.heardAt() }; }
+LimitReport newsOf(const KnownLimit& limit, Milliseconds now) { return { limit.perSecond(), now - limit.heardAt() }; }
 
 } // namespace
 
@@ -39,21 +39,21 @@
     std::erase_if(m_counts, [now](const auto& entry) { return now - entry.second.usedAt > forgottenAfter; });
 }
 
-void LimitKeeper::tell(const std::string& endpoint, const LimitNews& news, Milliseconds now)
+void LimitKeeper::reportLimit(const std::string& endpoint, const LimitReport& report, Milliseconds now)
 {
-    countOf(endpoint, now).limit.noteNews(news.perSecond, now - news.age);
+    countOf(endpoint, now).limit.notePeerReport(report.perSecond, now - report.age);
 }
 
-LimitNews LimitKeeper::news(const std::string& endpoint, Milliseconds now) const
+LimitReport LimitKeeper::report(const std::string& endpoint, Milliseconds now) const
 {
     const auto known = m_counts.find(endpoint);
-    return known == m_counts.end() ? LimitNews { std::nullopt, now } : newsOf(known->second.limit, now);
+    return known == m_counts.end() ? LimitReport { std::nullopt, now } : newsOf(known->second.limit, now);
 }
 
 PermitAnswer LimitKeeper::ask(const PermitRequest& request, double share, Milliseconds now)
 {
     auto& count = countOf(request.endpoint, now);
-    count.limit.noteNews(request.news.perSecond, now - request.news.age);
+    count.limit.notePeerReport(request.report.perSecond, now - request.report.age);
     const auto perSecond = count.limit.perSecond();
     if (!perSecond)
         return { true, Milliseconds { 0 }, newsOf(count.limit, now) };
@@ -63,7 +63,7 @@
     if (!std::exchange(count.hasBegun, true))
         schedule.delay(m_firstPlaceAfter);
     const auto wait = schedule.waitFor(now);
-    if (wait > std::min(request.patience, mostWaiting * schedule.interval()))
+    if (wait > std::min(request.permitTimeout, mostWaiting * schedule.interval()))
         return { false, returnAfter(count, std::max(wait, Milliseconds { 1 }), now), newsOf(count.limit, now) };
     schedule.take(now);
     return { true, wait, newsOf(count.limit, now) };
--- a/src/limits/LimitKeeper.h
+++ b/src/limits/LimitKeeper.h
@@ -2,15 +2,15 @@
 //
 // One VM counts for all, because shares that each VM keeps for itself waste what VMs without requests do not use, and
 // are a burst when many VMs each have one request in hand: 300 VMs with a permit each are 300 requests at an endpoint
-// that takes one a second. What it hears from those that ask orders itself by when it was heard (HeardLimit).
+// that takes one a second. What it hears from those that ask orders itself by when it was heard (KnownLimit).
 //
 //     LimitKeeper keeper;
-//     const auto answer = keeper.ask(request, LimitKeeper::wholeShare, now);
+//     const auto answer = keeper.ask(request, LimitKeeper::primaryShare, now);
 //
 // Without input or output; not thread-safe.
 #pragma once
 
-#include "limits/HeardLimit.h"
+#include "limits/KnownLimit.h"
 #include "limits/PermitSchedule.h"
 #include "limits/PermitSource.h"
 #include <deque>
@@ -30,7 +30,7 @@
     }
 
     // Share of a limit that is given out: the rest covers permits that are used a little late.
-    static constexpr double wholeShare = 0.95;
+    static constexpr double primaryShare = 0.95;
     // The same where another VM may count for the same endpoint at the same time, because VMs know different lists of
     // VMs or some cannot reach it. Both shares together, and what each lets through at its start, stay below the one
     // and a half times that endpoints bear.
@@ -39,15 +39,15 @@
     static constexpr int mostWaiting = 2;
 
     PermitAnswer ask(const PermitRequest&, double share, Milliseconds now);
-    void tell(const std::string& endpoint, const LimitNews&, Milliseconds now);
+    void reportLimit(const std::string& endpoint, const LimitReport&, Milliseconds now);
     // What it has heard of the endpoint's limit.
-    LimitNews news(const std::string& endpoint, Milliseconds now) const;
+    LimitReport report(const std::string& endpoint, Milliseconds now) const;
     // Endpoints that are counted for.
     std::size_t size() const { return m_counts.size(); }
 
 private:
     struct Count {
-        HeardLimit limit;
+        KnownLimit limit;
         PermitSchedule schedule;
         bool hasBegun { false };
         // When those that got no permit were told to ask again, oldest first.
--- a/src/limits/LocalPermits.cpp
+++ b/src/limits/LocalPermits.cpp
@@ -12,13 +12,13 @@
 
 void LocalPermits::ask(const PermitRequest& request, std::function<void(const PermitAnswer&)> callback)
 {
-    const auto answer = m_keeper.ask(request, LimitKeeper::wholeShare, m_clock.now());
+    const auto answer = m_keeper.ask(request, LimitKeeper::primaryShare, m_clock.now());
     boost::asio::post(m_ioContext, [callback = std::move(callback), answer] { callback(answer); });
 }
 
-void LocalPermits::tell(const std::string& endpoint, const LimitNews& news)
+void LocalPermits::reportLimit(const std::string& endpoint, const LimitReport& report)
 {
-    m_keeper.tell(endpoint, news, m_clock.now());
+    m_keeper.reportLimit(endpoint, report, m_clock.now());
 }
 
 } // namespace lupinknot::internal
--- a/src/limits/LocalPermits.h
+++ b/src/limits/LocalPermits.h
@@ -15,7 +15,7 @@
 public:
     LocalPermits(boost::asio::io_context&, const Clock&);
     void ask(const PermitRequest&, std::function<void(const PermitAnswer&)>) override;
-    void tell(const std::string& endpoint, const LimitNews&) override;
+    void reportLimit(const std::string& endpoint, const LimitReport&) override;
 
 private:
     boost::asio::io_context& m_ioContext;
--- a/src/limits/PermitSchedule.h
+++ b/src/limits/PermitSchedule.h
@@ -7,7 +7,7 @@
 //
 //     PermitSchedule schedule(now);
 //     schedule.setRate(perSecond, now);
-//     if (schedule.waitFor(now) <= patience) schedule.take(now);
+//     if (schedule.waitFor(now) <= permitTimeout) schedule.take(now);
 //
 // A plain value without input or output; not thread-safe.
 #pragma once
--- a/src/limits/PermitSource.h
+++ b/src/limits/PermitSource.h
@@ -1,6 +1,6 @@
 // Where a VM asks whether it may send a request to an endpoint under a limit, and tells what it has heard of one.
 //
-//     permits.ask({ startName, limit, patience }, [](const PermitAnswer& answer) { ... });
+//     permits.ask({ incarnationName, limit, permitTimeout }, [](const PermitAnswer& answer) { ... });
 //
 // Used on the relay's thread only; it outlives its questions' answers or drops them.
 #pragma once
@@ -13,7 +13,7 @@
 namespace lupinknot::internal {
 
 // What one VM has heard of an endpoint's limit.
-struct LimitNews {
+struct LimitReport {
     // Requests a second; nothing when the endpoint names no limit.
     std::optional<double> perSecond;
     // How long ago it was heard.
@@ -21,11 +21,11 @@
 };
 
 struct PermitRequest {
-    // Names the start of the endpoint (EndpointEntry::startName).
+    // Names the start of the endpoint (EndpointEntry::incarnationName).
     std::string endpoint;
-    LimitNews news;
+    LimitReport report;
     // How long the request can wait for its place.
-    Milliseconds patience { 0 };
+    Milliseconds permitTimeout { 0 };
 };
 
 struct PermitAnswer {
@@ -33,7 +33,7 @@
     // Until the request may be sent, or, without a permit, until asking again may help.
     Milliseconds wait { 0 };
     // What is known of the limit where it was asked.
-    LimitNews news;
+    LimitReport report;
 };
 
 class PermitSource {
@@ -41,8 +41,8 @@
     virtual ~PermitSource() = default;
     // Calls back once, never before it returns.
     virtual void ask(const PermitRequest&, std::function<void(const PermitAnswer&)>) = 0;
-    // Passes news of a limit on without asking for a permit.
-    virtual void tell(const std::string& endpoint, const LimitNews&) = 0;
+    // Passes report of a limit on without asking for a permit.
+    virtual void reportLimit(const std::string& endpoint, const LimitReport&) = 0;
 };
 
 } // namespace lupinknot::internal
--- a/src/load/GenerationCaller.cpp
+++ b/src/load/GenerationCaller.cpp
@@ -91,7 +91,7 @@
     return (isLost && m_result.outcome.empty()) || isRefused || isTakenOver;
 }
 
-void GenerationCaller::headArrived(unsigned status, const HttpHeaders& headers)
+void GenerationCaller::headerArrived(unsigned status, const HttpHeaders& headers)
 {
     const std::lock_guard lock(m_mutex);
     m_result.status = status;
--- a/src/load/GenerationCaller.h
+++ b/src/load/GenerationCaller.h
@@ -39,7 +39,7 @@
 
     GenerationResult run();
 
-    void headArrived(unsigned status, const HttpHeaders&) override;
+    void headerArrived(unsigned status, const HttpHeaders&) override;
     void bodyArrived(std::string_view piece) override;
     void ended() override;
     void failed(HttpCallFailure, const std::string& message) override;
--- a/src/model/LimitModel.cpp
+++ b/src/model/LimitModel.cpp
@@ -2,7 +2,7 @@
 
 #include "common/NameHash.h"
 #include "limits/EndpointKeepers.h"
-#include "limits/KeeperWatch.h"
+#include "limits/KeeperReachability.h"
 #include "limits/LimitKeeper.h"
 
 #include <algorithm>
@@ -62,12 +62,12 @@
     unsigned incarnation { 0 };
     // What it has heard of the endpoint's start, and when its own answers first named this limit.
     unsigned start { 0 };
-    HeardLimit limit;
+    KnownLimit limit;
     std::optional<Milliseconds> toldAt;
     Milliseconds noPermitUntil { 0 };
     LimitKeeper keeper;
     LimitKeeper keeperAlone;
-    KeeperWatch watch;
+    KeeperReachability watch;
     Milliseconds startedAt { 0 };
     // For the ways without one that counts.
     PermitSchedule own { Milliseconds { 0 } };
@@ -288,33 +288,32 @@
 double Play::shareAt(std::size_t number, std::size_t rank)
 {
     if (m_play.planted == PlantedLimitFault::WholeSubstitutes)
-        return LimitKeeper::wholeShare;
+        return LimitKeeper::primaryShare;
     auto& vm = m_vms[number];
-    if (vm.incarnation > 0 && m_now < vm.startedAt + KeeperWatch::goneAfter)
+    if (vm.incarnation > 0 && m_now < vm.startedAt + KeeperReachability::presumedGoneAfter)
         return LimitKeeper::substituteShare;
     std::vector<std::string> before;
     for (std::size_t i = 0; i < rank && m_keepers[i] != number; ++i) {
         const auto& name = m_names[m_keepers[i]];
         before.push_back(name);
-        if (!vm.watch.isPassedOver(name, m_now)) {
+        if (!vm.watch.isSkipped(name, m_now)) {
             ++m_calls;
             vm.watch.noteAnswer(name, reaches(number, m_keepers[i]), m_now);
         }
     }
-    return vm.watch.shareOfSubstitute(before, m_now);
+    return vm.watch.shareAsSubstitute(before, m_now);
 }
 
 void Play::askForPermit(std::size_t number, std::size_t rank, Milliseconds begunAt)
 {
     auto& vm = m_vms[number];
-    while (
-        rank < m_keepers.size() && m_keepers[rank] != number && vm.watch.isPassedOver(m_names[m_keepers[rank]], m_now))
+    while (rank < m_keepers.size() && m_keepers[rank] != number && vm.watch.isSkipped(m_names[m_keepers[rank]], m_now))
         ++rank;
-    const LimitNews news { believed(vm), m_now - vm.limit.heardAt() };
-    const PermitRequest request { endpointName(number), news, drawn() < 0.5 ? patience : Milliseconds { 0 } };
+    const LimitReport report { believed(vm), m_now - vm.limit.heardAt() };
+    const PermitRequest request { endpointName(number), report, drawn() < 0.5 ? patience : Milliseconds { 0 } };
     const auto incarnation = vm.incarnation;
     if (m_play.planted == PlantedLimitFault::EachCounts) {
-        permitAnswered(number, incarnation, vm.keeper.ask(request, LimitKeeper::wholeShare, m_now));
+        permitAnswered(number, incarnation, vm.keeper.ask(request, LimitKeeper::primaryShare, m_now));
         return;
     }
     if (rank >= m_keepers.size() || m_keepers[rank] == number) {
@@ -356,7 +355,7 @@
             [this, number, incarnation, answer] { permitAnswered(number, incarnation, answer); });
         return;
     }
-    vm.limit.noteNews(answer.news.perSecond, m_now - answer.news.age);
+    vm.limit.notePeerReport(answer.report.perSecond, m_now - answer.report.age);
     if (!answer.isGranted) {
         vm.noPermitUntil = m_now + answer.wait;
         refused(number);
@@ -388,7 +387,7 @@
         vm.ownRate = std::min(vm.ownRate, limit);
         rate = vm.ownRate;
     }
-    vm.own.setRate(rate * LimitKeeper::wholeShare, m_now);
+    vm.own.setRate(rate * LimitKeeper::primaryShare, m_now);
     if (vm.own.waitFor(m_now) > Milliseconds { 0 }) {
         refused(number);
         return;
@@ -468,7 +467,7 @@
     for (const auto keeper : m_keepers) {
         m_calls += keeper != number;
         if (keeper == number || reaches(number, keeper))
-            m_vms[keeper].keeper.tell(endpointName(number), { vm.limit.perSecond(), Milliseconds { 0 } }, m_now);
+            m_vms[keeper].keeper.reportLimit(endpointName(number), { vm.limit.perSecond(), Milliseconds { 0 } }, m_now);
     }
 }
 
--- a/src/model/RetryModel.cpp
+++ b/src/model/RetryModel.cpp
@@ -30,7 +30,7 @@
 
     void start(Milliseconds now)
     {
-        settings.retrySlackFrom = now + settings.retryWindow;
+        settings.retrySlackStartsAt = now + settings.retryWindow;
         budget = std::make_unique<RetryBudget>(settings);
         runs.clear();
     }
@@ -127,7 +127,7 @@
     {
         const auto away = isSilent(second) ? m_play.turnedAwayWhileSilent : m_play.turnedAwayShare;
         while (chance() < away) {
-            if (!retry(vm, RetryPurpose::Rescue, requestedAt))
+            if (!retry(vm, RetryPurpose::Failover, requestedAt))
                 return;
         }
         const auto length = static_cast<int>(m_play.runSeconds * ticksInSecond * (0.5 + chance()));
@@ -168,12 +168,12 @@
             (run.zone == zone && chance() < m_play.lossShare ? lost : kept).push_back(run);
         vm.runs = std::move(kept);
         for (const auto& run : lost) {
-            if (retry(vm, RetryPurpose::Rescue, run.requestedAt))
+            if (retry(vm, RetryPurpose::Failover, run.requestedAt))
                 send(vm, run.requestedAt, second);
         }
         for (const auto& run : vm.runs) {
             if (chance() < m_play.movedShare)
-                retry(vm, RetryPurpose::Precaution, run.requestedAt);
+                retry(vm, RetryPurpose::Proactive, run.requestedAt);
         }
     }
 
--- a/src/model/RolloutModel.cpp
+++ b/src/model/RolloutModel.cpp
@@ -1,6 +1,6 @@
 #include "model/RolloutModel.h"
 
-#include "rollout/RolloutGatherer.h"
+#include "rollout/RolloutAggregator.h"
 
 #include <algorithm>
 #include <memory>
@@ -39,7 +39,7 @@
     std::string name;
     int incarnation { 0 };
     std::unique_ptr<Rollout> rollout;
-    std::unique_ptr<RolloutGatherer> gatherer;
+    std::unique_ptr<RolloutAggregator> aggregator;
     // Neither serves nor speaks before this step: killed or paused.
     int awayUntil { 0 };
     // Reaches neither other VMs nor the store, and serves.
@@ -99,7 +99,7 @@
         if (!m_play.hasTrouble)
             return;
         for (auto& vm : m_vms) {
-            // Some percent of the VMs within the order's time; gatherers as often as any.
+            // Some percent of the VMs within the order's time; aggregators as often as any.
             if (!chance(0.0005))
                 continue;
             const auto until = m_step + 5 + pick(40);
@@ -115,7 +115,7 @@
             }
             vm.calmSince = until * step;
         }
-        // A gatherer in the middle of its work.
+        // A aggregator in the middle of its work.
         if (chance(0.005))
             kill(m_vms[static_cast<std::size_t>(pick(gathererCount))], m_step + 5 + pick(30));
     }
@@ -125,7 +125,7 @@
         vm.awayUntil = until;
         vm.calmSince = until * step;
         vm.rollout.reset();
-        vm.gatherer.reset();
+        vm.aggregator.reset();
         ++vm.incarnation;
         vm.hasBeenKilled = true;
     }
@@ -141,9 +141,9 @@
                 continue;
             const bool isUndivided = m_play.planted == PlantedFault::UndividedBudget;
             const auto share = vm.hasBeenKilled ? 0.0 : isUndivided ? 1.0 : 1.0 / m_play.vmCount;
-            vm.rollout = std::make_unique<Rollout>(m_order, RolloutTerms { limit, share, vm.name });
+            vm.rollout = std::make_unique<Rollout>(m_order, RolloutParameters { limit, share, vm.name });
             if (i < gathererCount)
-                vm.gatherer = std::make_unique<RolloutGatherer>(m_order, now());
+                vm.aggregator = std::make_unique<RolloutAggregator>(m_order, now());
         }
     }
 
@@ -166,7 +166,7 @@
             }
             vm.rollout->noteRequest();
             if (isDeaf(index))
-                vm.rollout->hear(GathererWord::Try, now());
+                vm.rollout->applyDirective(RolloutDirective::Try, now());
             const auto choice = vm.rollout->choose(now());
             const bool isCandidate = choice.rule == VersionChoice::Rule::Only;
             send(index, route, isCandidate ? RunnerVersion::Candidate : RunnerVersion::Present);
@@ -225,13 +225,13 @@
             if (!vm.rollout || isAway(vm) || isDeaf(i) || (m_step + static_cast<int>(i)) % stepsBetweenAccounts != 0)
                 continue;
             for (std::size_t g = 0; g < gathererCount; ++g) {
-                auto& gatherer = m_vms[g];
-                const bool isReached = g == i || (!isCut(vm) && !isCut(gatherer) && !chance(m_lossShare));
-                if (!gatherer.gatherer || isAway(gatherer) || !isReached)
+                auto& aggregator = m_vms[g];
+                const bool isReached = g == i || (!isCut(vm) && !isCut(aggregator) && !chance(m_lossShare));
+                if (!aggregator.aggregator || isAway(aggregator) || !isReached)
                     continue;
                 const auto process = vm.name + "/" + std::to_string(vm.incarnation);
-                gatherer.gatherer->take(process, vm.rollout->evidence(), vm.rollout->isStopped());
-                vm.rollout->hear(gatherer.gatherer->word(now()), now());
+                aggregator.aggregator->addReport(process, vm.rollout->evidence(), vm.rollout->isStopped());
+                vm.rollout->applyDirective(aggregator.aggregator->directive(now()), now());
             }
         }
     }
@@ -240,16 +240,16 @@
     {
         for (std::size_t g = 0; g < gathererCount; ++g) {
             auto& vm = m_vms[g];
-            if (!vm.gatherer || isAway(vm) || isCut(vm) || isStoreAway())
+            if (!vm.aggregator || isAway(vm) || isCut(vm) || isStoreAway())
                 continue;
-            const auto wanted = vm.gatherer->wanted(now());
-            if (!wanted || m_decision == *wanted)
+            const auto dueDecision = vm.aggregator->dueDecision(now());
+            if (!dueDecision || m_decision == *dueDecision)
                 continue;
             if (m_decision != RolloutDecision::Undecided && m_play.planted != PlantedFault::DecisionTurns)
                 continue;
             if (m_decision != RolloutDecision::Undecided)
                 violate("a decision turned");
-            m_decision = *wanted;
+            m_decision = *dueDecision;
             m_decidedAt = now();
         }
     }
--- a/src/peer/PeerConnection.cpp
+++ b/src/peer/PeerConnection.cpp
@@ -160,7 +160,7 @@
     if (m_isClosed)
         return;
     if (m_queue.size() + frame.size() > maxQueuedBytes) {
-        logWarning(LogPart::Journal, "a peer takes nothing; its connection is closed.");
+        logWarning(LogComponent::Journal, "a peer takes nothing; its connection is closed.");
         closeNow();
         return;
     }
--- a/src/peer/PeerNetwork.cpp
+++ b/src/peer/PeerNetwork.cpp
@@ -150,7 +150,7 @@
     if (!handler)
         return;
     if (identity) {
-        logWarning(LogPart::Membership, "the link to VM " + identity->vm + " is lost.");
+        logWarning(LogComponent::Membership, "the link to VM " + identity->vm + " is lost.");
         handler->peerDown(*identity);
     }
 }
@@ -249,7 +249,7 @@
 {
     if (!isWelcome(envelope)) {
         logWarning(
-            LogPart::Membership, "a stranger is refused: another cluster or secret, or a VM that is not a peer.");
+            LogComponent::Membership, "a stranger is refused: another cluster or secret, or a VM that is not a peer.");
         connection->close();
         return;
     }
@@ -274,7 +274,7 @@
         closed(older);
         older->close();
     }
-    logInfo(LogPart::Membership,
+    logInfo(LogComponent::Membership,
         "the link to VM " + identity.vm + " in zone " + identity.zone + " (release " + hello.release() + ") is up.");
     if (handler)
         handler->peerUp(identity);
@@ -309,7 +309,7 @@
     {
         const std::lock_guard lock(m_mutex);
         for (const auto& entry : m_links) {
-            if (m_clock.now() - entry.second.lastHeard > m_settings.cluster.silence)
+            if (m_clock.now() - entry.second.lastHeard > m_settings.cluster.silenceTimeout)
                 silent.push_back(entry.second.connection);
         }
     }
--- a/src/peer/PeerSettings.h
+++ b/src/peer/PeerSettings.h
@@ -17,7 +17,7 @@
     std::int64_t port { 0 };
     Milliseconds heartbeatInterval { 200 };
     // A peer that has sent nothing for this long counts as lost.
-    Milliseconds silence { 1000 };
+    Milliseconds silenceTimeout { 1000 };
     Milliseconds reconnectInterval { 100 };
 };
 
--- a/src/quarantine/CrashWeight.cpp
+++ b/src/quarantine/CrashWeight.cpp
@@ -31,19 +31,19 @@
         return 0;
     const bool isSharp = run.workedFor <= justBegun;
     switch (run.beginning) {
-    case RunBeginning::NotYet:
+    case RunStart::NotYet:
         return 0;
     // To read a prompt takes longer than this: the engine had gone already, behind something that took the connection.
-    case RunBeginning::Hidden:
+    case RunStart::Hidden:
         return run.workedFor < shortestWork ? 0 : halfSuspicion;
-    case RunBeginning::Producing:
+    case RunStart::Producing:
         if (run.workedFor >= longRun)
             return 0;
         break;
     // Without an event nothing clears it.
-    case RunBeginning::Begun:
+    case RunStart::Begun:
         break;
-    case RunBeginning::Assumed:
+    case RunStart::Assumed:
         if (run.workedFor < shortestWork)
             return halfSuspicion;
         break;
--- a/src/quarantine/CrashWeight.h
+++ b/src/quarantine/CrashWeight.h
@@ -14,8 +14,8 @@
 
 namespace lupinknot::internal {
 
-// What the answer shows of the moment at which the endpoint began to run the request.
-enum class RunBeginning {
+// What the answer shows of the correlationWindow at which the endpoint began to run the request.
+enum class RunStart {
     Producing, // Events had come.
     Begun, // The head of the answer had come.
     NotYet, // It had not, and heads of this service come before the first event.
@@ -23,18 +23,18 @@
     Assumed, // A call with a whole answer: it begins as soon as the endpoint has a place.
 };
 
-inline constexpr std::array<EnumName<RunBeginning>, 5> runBeginningNames { {
-    { RunBeginning::Producing, "producing" },
-    { RunBeginning::Begun, "begun" },
-    { RunBeginning::NotYet, "not-yet" },
-    { RunBeginning::Hidden, "hidden" },
-    { RunBeginning::Assumed, "assumed" },
+inline constexpr std::array<EnumName<RunStart>, 5> runStartNames { {
+    { RunStart::Producing, "producing" },
+    { RunStart::Begun, "begun" },
+    { RunStart::NotYet, "not-yet" },
+    { RunStart::Hidden, "hidden" },
+    { RunStart::Assumed, "assumed" },
 } };
 
 // A run that its endpoint did not finish.
 struct UnfinishedRun {
     FailureKind failure { FailureKind::ConnectionLost };
-    RunBeginning beginning { RunBeginning::Hidden };
+    RunStart beginning { RunStart::Hidden };
     // From the first event, else from the head, else from the sending, to the last sign of the endpoint.
     Milliseconds workedFor { 0 };
     // The endpoint had said that it leaves.
--- a/src/quarantine/EndpointLosses.h
+++ b/src/quarantine/EndpointLosses.h
@@ -1,9 +1,9 @@
 // The endpoints that this VM has lost lately, and whether one of them went together with others.
 //
-// Load pattern: a zone's endpoints, or most of a service's, end within a moment of each other. Whatever ran there has
-// lost its endpoint with others and is not to blame. Endpoints that were lost under the same request do not count as
-// others: a request that ends whatever runs it makes such a row by itself, within one attempt and over several.
-// Used on the relay's thread only.
+// Load pattern: a zone's endpoints, or most of a service's, end within a correlationWindow of each other. Whatever ran
+// there has lost its endpoint with others and is not to blame. Endpoints that were lost under the same request do not
+// count as others: a request that ends whatever runs it makes such a row by itself, within one attempt and over
+// several. Used on the relay's thread only.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -24,7 +24,7 @@
 };
 
 // How many other endpoints there are beside the lost one.
-struct OtherEndpoints {
+struct OtherEndpointCounts {
     std::size_t inZone { 0 };
     std::size_t inService { 0 };
 };
@@ -32,15 +32,15 @@
 class EndpointLosses {
 public:
     // Of an endpoint that has shown life since its last loss, this is another one.
-    void note(EndpointLoss, Milliseconds lastLife);
+    void note(EndpointLoss, Milliseconds lastAliveAt);
     // True when the endpoint was lost before the instant and had shown no life since: whatever was sent to it then has
     // not ended it.
-    bool wasLostBefore(const std::string& endpointId, Milliseconds instant, Milliseconds lastLife) const;
-    // True when enough others went within the moment to explain the loss.
-    bool wentWithOthers(const EndpointLoss&, const OtherEndpoints&) const;
+    bool wasLostBefore(const std::string& endpointId, Milliseconds instant, Milliseconds lastAliveAt) const;
+    // True when enough others went within the correlationWindow to explain the loss.
+    bool isCorrelatedLoss(const EndpointLoss&, const OtherEndpointCounts&) const;
 
     // Losses so close to each other are one event: breaks are seen at once, silence within some 300 ms.
-    static constexpr Milliseconds moment { 500 };
+    static constexpr Milliseconds correlationWindow { 500 };
 
 private:
     // One endpoint, whoever has seen it go.
--- a/src/quarantine/Quarantine.cpp
+++ b/src/quarantine/Quarantine.cpp
@@ -18,7 +18,7 @@
 bool wereLostTogether(const CrashRecord& a, const CrashRecord& b)
 {
     const auto apart = Milliseconds { std::abs(a.lostAt - b.lostAt) };
-    return apart <= EndpointLosses::moment && a.sentAt < b.lostAt && b.sentAt < a.lostAt;
+    return apart <= EndpointLosses::correlationWindow && a.sentAt < b.lostAt && b.sentAt < a.lostAt;
 }
 
 Milliseconds spreadOf(std::string_view vmName)
@@ -121,7 +121,7 @@
     for (auto suspect = m_suspects.begin(); suspect != m_suspects.end();) {
         auto& entries = suspect->second.entries;
         for (auto entry = entries.begin(); entry != entries.end();)
-            entry = now - entry->second.at < recordTime ? std::next(entry) : entries.erase(entry);
+            entry = now - entry->second.at < recordLifetime ? std::next(entry) : entries.erase(entry);
         suspect = entries.empty() ? m_suspects.erase(suspect) : std::next(suspect);
     }
 }
--- a/src/quarantine/Quarantine.h
+++ b/src/quarantine/Quarantine.h
@@ -12,8 +12,9 @@
 // once, whoever tells of it; one that ends again and again counts half from its second time on, because it may be
 // ailing itself.
 //
-// Runs of one request that were under way side by side and were lost within a moment count as one: many ask for the
-// same, and what took their endpoints away took them together. A request that ends its endpoints loses them one by one.
+// Runs of one request that were under way side by side and were lost within a correlationWindow count as one: many ask
+// for the same, and what took their endpoints away took them together. A request that ends its endpoints loses them one
+// by one.
 //
 // No input or output, no clock: instants are parameters. Used on the relay's thread only.
 #pragma once
@@ -75,7 +76,7 @@
     // A trial of which nothing has been heard for so long counts as over.
     static constexpr Milliseconds longestTrial { 10'000 };
     // How long a record counts.
-    static constexpr Milliseconds recordTime { 1'800'000 };
+    static constexpr Milliseconds recordLifetime { 1'800'000 };
     // Requests that are kept in mind; the one that has been quiet for longest goes first.
     static constexpr std::size_t mostSuspects = 2000;
     static constexpr std::size_t mostRecordsOfOne = 16;
--- a/src/quarantine/Standing.h
+++ b/src/quarantine/QuarantineStatus.h
@@ -3,9 +3,9 @@
 
 namespace lupinknot::internal {
 
-enum class Standing {
+enum class QuarantineStatus {
     Free,
-    UnderJudgement, // Wait; what has just been lost under it is being judged.
+    Pending, // Wait; what has just been lost under it is being judged.
     Held,
 };
 
--- a/src/relay/WholeAnswerCall.cpp
+++ b/src/relay/BufferedCall.cpp
@@ -1,4 +1,4 @@
-#include "relay/WholeAnswerCall.h"
+#include "relay/BufferedCall.h"
 
 #include "admission/AttemptAdmission.h"
 #include "common/EventLog.h"
@@ -23,13 +23,13 @@
 
 } // namespace
 
-void WholeAnswerCall::serve(RelayContext& context, RelayRequest request)
+void BufferedCall::serve(RelayContext& context, RelayRequest request)
 {
-    const std::shared_ptr<WholeAnswerCall> call(new WholeAnswerCall(context, std::move(request)));
+    const std::shared_ptr<BufferedCall> call(new BufferedCall(context, std::move(request)));
     call->begin();
 }
 
-WholeAnswerCall::WholeAnswerCall(RelayContext& context, RelayRequest request)
+BufferedCall::BufferedCall(RelayContext& context, RelayRequest request)
     : m_context(context)
     , m_request(std::move(request))
     , m_rollout(m_context, m_request)
@@ -40,9 +40,9 @@
 {
 }
 
-WholeAnswerCall::~WholeAnswerCall() = default;
+BufferedCall::~BufferedCall() = default;
 
-void WholeAnswerCall::begin()
+void BufferedCall::begin()
 {
     m_crashWatch.begin([weak = weak_from_this()] {
         if (const auto self = weak.lock(); self && !self->m_isFinished)
@@ -53,36 +53,36 @@
         if (!error)
             self->timedOut();
     });
-    m_request.exchange->onGone([self = shared_from_this()] {
+    m_request.exchange->onPeerDisconnected([self = shared_from_this()] {
         if (self->m_isFinished)
             return;
         LogEvent("request.caller-gone").text("request", self->m_request.fields.requestId).write();
         self->finish();
     });
     if (!sendNext(anyEndpoint(), false))
-        waitForPlace(RefusalReason::NoEndpoint);
+        waitForCapacity(RefusalReason::NoEndpoint);
 }
 
-bool WholeAnswerCall::mayHaveArrived() const
+bool BufferedCall::mayHaveArrived() const
 {
     return std::any_of(m_attempts.begin(), m_attempts.end(), [](const std::unique_ptr<Attempt>& attempt) {
         return !attempt->call || !attempt->call->isOver() || attempt->call->hasSent();
     });
 }
 
-PlacementRequest WholeAnswerCall::anyEndpoint()
+PlacementRequest BufferedCall::anyEndpoint()
 {
     return { .service = m_request.service, .excluded = m_tried, .version = m_rollout.next() };
 }
 
-PlacementRequest WholeAnswerCall::soundEndpoint()
+PlacementRequest BufferedCall::soundEndpoint()
 {
     auto wanted = anyEndpoint();
-    wanted.mustBeSound = true;
+    wanted.mustBeHealthy = true;
     return wanted;
 }
 
-bool WholeAnswerCall::sendNext(const PlacementRequest& wanted, bool isCharged)
+bool BufferedCall::sendNext(const PlacementRequest& wanted, bool isCharged)
 {
     const auto now = m_context.now();
     const auto endpoint = m_context.placement.choose(wanted, now);
@@ -95,11 +95,11 @@
     return true;
 }
 
-void WholeAnswerCall::askForPermit(const std::shared_ptr<RelayEndpoint>& endpoint, bool isCharged)
+void BufferedCall::askForPermit(const std::shared_ptr<RelayEndpoint>& endpoint, bool isCharged)
 {
     const auto now = m_context.now();
     auto other = soundEndpoint();
-    other.limited = LimitedEndpoints::LeftOut;
+    other.limited = LimitedEndpoints::Excluded;
     // Where another endpoint can serve the call at once, it does not wait for its place at this one.
     const bool waits = mayWait() && !m_context.placement.choose(other, now);
     const auto patience = waits ? timeToWait(waitingCall(), now) : Milliseconds { 0 };
@@ -111,7 +111,7 @@
         });
 }
 
-void WholeAnswerCall::permitAnswered(const std::shared_ptr<RelayEndpoint>& endpoint, bool isGranted, bool isCharged)
+void BufferedCall::permitAnswered(const std::shared_ptr<RelayEndpoint>& endpoint, bool isGranted, bool isCharged)
 {
     m_permit.reset();
     if (isGranted) {
@@ -123,7 +123,7 @@
     recover(RefusalReason::EndpointsLimited);
 }
 
-void WholeAnswerCall::sendTo(const std::shared_ptr<RelayEndpoint>& endpoint, bool isCharged)
+void BufferedCall::sendTo(const std::shared_ptr<RelayEndpoint>& endpoint, bool isCharged)
 {
     const auto now = m_context.now();
     m_tried.push_back(endpoint);
@@ -133,7 +133,7 @@
     fields.organisation = m_request.organisation;
     const auto request = m_context.protocol.encodeForward(m_request.exchange->request(), fields);
     const auto& settings = m_context.settings;
-    const auto maxRest = m_request.route->mayRunAgain() ? settings.maxRest : settings.maxRestForSingleRun;
+    const auto maxIdleTime = m_request.route->mayRunAgain() ? settings.maxIdleTime : settings.maxIdleTimeForSingleRun;
     LogEvent("request.sent", !m_attempts.empty() ? LogImportance::Notable : LogImportance::Routine)
         .text("request", m_request.fields.requestId)
         .text("endpoint", endpoint->entry().id)
@@ -147,18 +147,18 @@
     auto attempt = std::make_unique<Attempt>();
     attempt->isCharged = isCharged;
     auto& stored = *m_attempts.emplace_back(std::move(attempt));
-    stored.call
-        = EndpointCall::start(m_context, endpoint, request, { m_request.fields.requestId, maxRest }, weak_from_this());
+    stored.call = EndpointCall::start(
+        m_context, endpoint, request, { m_request.fields.requestId, maxIdleTime }, weak_from_this());
     const bool isFirst = m_attempts.size() == 1 && m_waits == 0;
     if (isFirst && m_request.route->mayRunAgain() && m_context.has(Policy::SecondSendings))
         armHedge();
 }
 
-void WholeAnswerCall::armHedge()
+void BufferedCall::armHedge()
 {
     const auto& settings = m_context.settings;
     const auto usual = m_context.pace(m_request.service).hedgeDelay();
-    m_hedgeTimer.expires_after(std::clamp(usual, settings.shortestHedgeDelay, settings.longestHedgeDelay));
+    m_hedgeTimer.expires_after(std::clamp(usual, settings.minHedgeDelay, settings.maxHedgeDelay));
     m_hedgeTimer.async_wait([weak = weak_from_this()](boost::system::error_code error) {
         const auto self = weak.lock();
         if (!error && self && !self->m_isFinished)
@@ -166,34 +166,34 @@
     });
 }
 
-void WholeAnswerCall::hedge()
+void BufferedCall::hedge()
 {
     // A second endpoint must not end under a request that may have ended the first ones.
     if (!hasOpenAttempt() || m_possibleRuns >= m_request.route->maxAttempts || m_crashWatch.isSuspect())
         return;
-    if (!m_context.retryBudget(m_request.service).take(RetryPurpose::Precaution, m_request.admittedAt, m_context.now()))
+    if (!m_context.retryBudget(m_request.service).take(RetryPurpose::Proactive, m_request.admittedAt, m_context.now()))
         return;
     // An endpoint in need is spared what is only a precaution.
     auto wanted = anyEndpoint();
-    wanted.limited = LimitedEndpoints::LeftOut;
+    wanted.limited = LimitedEndpoints::Excluded;
     if (!sendNext(wanted, true))
         m_context.retryBudget(m_request.service).giveBack();
 }
 
-WholeAnswerCall::Attempt& WholeAnswerCall::attemptOf(const EndpointCall& call)
+BufferedCall::Attempt& BufferedCall::attemptOf(const EndpointCall& call)
 {
     const auto found = std::find_if(m_attempts.begin(), m_attempts.end(),
         [&call](const std::unique_ptr<Attempt>& attempt) { return attempt->call.get() == &call; });
     return **found;
 }
 
-bool WholeAnswerCall::hasOpenAttempt() const
+bool BufferedCall::hasOpenAttempt() const
 {
     return std::any_of(m_attempts.begin(), m_attempts.end(),
         [](const std::unique_ptr<Attempt>& attempt) { return !attempt->call || !attempt->call->isOver(); });
 }
 
-void WholeAnswerCall::callHead(EndpointCall& call, const HttpResponse& head, const AnswerFields& fields)
+void BufferedCall::callHead(EndpointCall& call, const HttpResponse& head, const AnswerFields& fields)
 {
     auto& attempt = attemptOf(call);
     attempt.answer.status = head.status;
@@ -201,22 +201,19 @@
     attempt.fields = fields;
 }
 
-void WholeAnswerCall::callBody(EndpointCall& call, std::string_view piece)
-{
-    attemptOf(call).answer.body.append(piece);
-}
+void BufferedCall::callBody(EndpointCall& call, std::string_view piece) { attemptOf(call).answer.body.append(piece); }
 
-void WholeAnswerCall::callEnded(EndpointCall& call)
+void BufferedCall::callEnded(EndpointCall& call)
 {
     if (!m_isFinished)
         settle(attemptOf(call));
 }
 
-void WholeAnswerCall::settle(Attempt& attempt)
+void BufferedCall::settle(Attempt& attempt)
 {
     const auto& endpoint = attempt.call->endpoint();
     const auto status = attempt.answer.status;
-    if (attempt.fields.isNotRun || attempt.fields.isOtherEndpoint) {
+    if (attempt.fields.isNotRun || attempt.fields.isOtherIncarnation) {
         --m_possibleRuns;
         LogEvent("request.turned-away")
             .text("request", m_request.fields.requestId)
@@ -226,10 +223,10 @@
             .flag("leaving", attempt.fields.isLeaving)
             .write();
         const auto now = m_context.now();
-        if (attempt.fields.isOtherEndpoint)
+        if (attempt.fields.isOtherIncarnation)
             m_context.directory.remove(endpoint->entry().id, now);
         else
-            endpoint->avoidUntil(now + m_context.settings.avoidAfterShed);
+            endpoint->avoidUntil(now + m_context.settings.avoidAfterRejection);
         recover(RefusalReason::EndpointsBusy);
         return;
     }
@@ -243,7 +240,7 @@
         m_rollout.noteAnswer(*endpoint, AnswerQuality::Bad);
     else
         m_rollout.noteAnswerAfter(
-            *endpoint, m_context.now() - attempt.call->startedAt(), m_context.pace(m_request.service).usualCallTime());
+            *endpoint, m_context.now() - attempt.call->startedAt(), m_context.pace(m_request.service).medianCallTime());
     if (status >= firstServerError && m_request.route->mayRunAgain()) {
         LogEvent("request.endpoint-error")
             .text("request", m_request.fields.requestId)
@@ -257,7 +254,7 @@
     answer(std::move(attempt.answer), isSuccess(status) ? "answered" : "endpoint-status", endpoint->entry().id);
 }
 
-void WholeAnswerCall::callFailed(EndpointCall& call, FailureKind kind)
+void BufferedCall::callFailed(EndpointCall& call, FailureKind kind)
 {
     if (m_isFinished)
         return;
@@ -280,34 +277,33 @@
             m_context.retryBudget(m_request.service).giveBack();
     } else {
         m_rollout.noteAnswer(*endpoint, AnswerQuality::Bad);
-        m_crashWatch.noteUnfinished(
-            endpoint, call.startedAt(), { kind, RunBeginning::Assumed, now - call.startedAt() });
-        endpoint->avoidUntil(now + settings.avoidAfterBreak);
+        m_crashWatch.noteUnfinished(endpoint, call.startedAt(), { kind, RunStart::Assumed, now - call.startedAt() });
+        endpoint->avoidUntil(now + settings.avoidAfterBrokenAnswer);
     }
     recover(wasSent ? RefusalReason::EndpointFailed : RefusalReason::NoEndpoint);
 }
 
 // Goes on elsewhere if that is allowed, waits for an attempt that is still open, or gives the request up.
-void WholeAnswerCall::recover(RefusalReason lastReason)
+void BufferedCall::recover(RefusalReason lastReason)
 {
     if (m_permit)
         return;
-    auto verdict = judgeAttempt(m_crashWatch.attemptState(m_possibleRuns));
-    if (verdict == AttemptVerdict::Held) {
+    auto verdict = decideAttempt(m_crashWatch.attemptState(m_possibleRuns));
+    if (verdict == AttemptDecision::Held) {
         refuse(refusalAfter(verdict, m_possibleRuns));
         return;
     }
-    if (verdict == AttemptVerdict::Undecided) {
+    if (verdict == AttemptDecision::Undecided) {
         recoverLater(lastReason);
         return;
     }
     auto& budget = m_context.retryBudget(m_request.service);
     const bool isRetry = mayHaveArrived();
-    if (verdict == AttemptVerdict::Allowed && isRetry
-        && !budget.take(purposeAfter(lastReason), m_request.admittedAt, m_context.now()))
-        verdict = AttemptVerdict::RetriesSpent;
+    if (verdict == AttemptDecision::Allowed && isRetry
+        && !budget.take(retryPurposeAfter(lastReason), m_request.admittedAt, m_context.now()))
+        verdict = AttemptDecision::RetriesSpent;
     // Endpoints that are known to be full or out of reach are not tried one after the other: the call waits instead.
-    if (verdict == AttemptVerdict::Allowed) {
+    if (verdict == AttemptDecision::Allowed) {
         if (sendNext(mayWait() ? soundEndpoint() : anyEndpoint(), isRetry))
             return;
         if (isRetry)
@@ -321,11 +317,11 @@
     } else if (m_possibleRuns > 0) {
         refuse(RefusalReason::EndpointFailed);
     } else {
-        waitForPlace(verdict == AttemptVerdict::RetriesSpent ? RefusalReason::RetryBudgetSpent : lastReason);
+        waitForCapacity(verdict == AttemptDecision::RetriesSpent ? RefusalReason::RetryBudgetSpent : lastReason);
     }
 }
 
-void WholeAnswerCall::recoverLater(RefusalReason lastReason)
+void BufferedCall::recoverLater(RefusalReason lastReason)
 {
     m_waitTimer.expires_after(m_context.settings.endpointRetryInterval);
     m_waitTimer.async_wait([weak = weak_from_this(), lastReason](boost::system::error_code error) {
@@ -335,37 +331,35 @@
     });
 }
 
-void WholeAnswerCall::held() { refuse(refusalAfter(AttemptVerdict::Held, m_possibleRuns)); }
+void BufferedCall::held() { refuse(refusalAfter(AttemptDecision::Held, m_possibleRuns)); }
 
-bool WholeAnswerCall::mayWait() const
-{
-    return m_possibleRuns == 0 && !m_errorAnswer && m_context.has(Policy::Waiting);
-}
+bool BufferedCall::mayWait() const { return m_possibleRuns == 0 && !m_errorAnswer && m_context.has(Policy::Waiting); }
 
-double WholeAnswerCall::spread() const
+double BufferedCall::spread() const
 {
     const auto& id = m_request.fields.requestId;
     const auto hash = static_cast<std::uint32_t>(XXH64(id.data(), id.size(), m_waits));
     return static_cast<double>(hash) / std::numeric_limits<std::uint32_t>::max();
 }
 
-WaitingCall WholeAnswerCall::waitingCall() const { return { m_request.admittedAt, m_request.deadline, m_waits }; }
+WaitingCall BufferedCall::waitingCall() const { return { m_request.admittedAt, m_request.deadline, m_waits }; }
 
-UnplacedRequest WholeAnswerCall::unplaced(RefusalReason lastReason)
+UnplacedRequest BufferedCall::unplaced(RefusalReason lastReason)
 {
     auto wanted = anyEndpoint();
     wanted.excluded.clear();
-    return { waitingCall(), m_context.placement.nextOpening(wanted, m_context.now()),
-        m_context.pace(m_request.service).usualCallTime(), spread(), lastReason };
+    return { waitingCall(), m_context.placement.nextAvailability(wanted, m_context.now()),
+        m_context.pace(m_request.service).medianCallTime(), spread(), lastReason };
 }
 
-void WholeAnswerCall::waitForPlace(RefusalReason lastReason)
+void BufferedCall::waitForCapacity(RefusalReason lastReason)
 {
     const auto now = m_context.now();
     const auto state = unplaced(lastReason);
     const auto decision = waitOrRefuse(state, now);
     const auto reason = decision.reason;
-    m_isWaiting = mayWait() && decision.waits && m_context.waitingRoom.enter(m_request.exchange->request().body.size());
+    m_isWaiting
+        = mayWait() && decision.waits && m_context.waitingRequestLimit.enter(m_request.exchange->request().body.size());
     if (!m_isWaiting) {
         refuse(reason);
         return;
@@ -374,9 +368,9 @@
         .text("request", m_request.fields.requestId)
         .text("reason", traitsOf(reason).name)
         .number("pause_ms", decision.pause.count())
-        .number("usual_call_ms", state.usualCallTime.count())
+        .number("usual_call_ms", state.medianCallTime.count())
         .number("time_left_ms", (m_request.deadline - now).count())
-        .number("waiting", static_cast<std::int64_t>(m_context.waitingRoom.count()))
+        .number("waiting", static_cast<std::int64_t>(m_context.waitingRequestLimit.count()))
         .write();
     ++m_waits;
     m_waitTimer.expires_after(decision.pause);
@@ -387,30 +381,30 @@
     });
 }
 
-void WholeAnswerCall::leaveWaitingRoom()
+void BufferedCall::leaveWaitingRoom()
 {
     if (std::exchange(m_isWaiting, false))
-        m_context.waitingRoom.leave(m_request.exchange->request().body.size());
+        m_context.waitingRequestLimit.leave(m_request.exchange->request().body.size());
 }
 
-void WholeAnswerCall::tryAgain(RefusalReason lastReason)
+void BufferedCall::tryAgain(RefusalReason lastReason)
 {
     leaveWaitingRoom();
     m_tried.clear();
     auto& budget = m_context.retryBudget(m_request.service);
     const bool isRetry = mayHaveArrived();
-    if (isRetry && !budget.take(purposeAfter(lastReason), m_request.admittedAt, m_context.now())) {
-        waitForPlace(RefusalReason::RetryBudgetSpent);
+    if (isRetry && !budget.take(retryPurposeAfter(lastReason), m_request.admittedAt, m_context.now())) {
+        waitForCapacity(RefusalReason::RetryBudgetSpent);
         return;
     }
     if (sendNext(anyEndpoint(), isRetry))
         return;
     if (isRetry)
         budget.giveBack();
-    waitForPlace(lastReason);
+    waitForCapacity(lastReason);
 }
 
-void WholeAnswerCall::timedOut()
+void BufferedCall::timedOut()
 {
     if (m_isFinished)
         return;
@@ -425,13 +419,13 @@
 }
 
 // Only a call that was sent once shows how long calls take: a second sending is sent because the first one is slow.
-void WholeAnswerCall::noteCallTime(Milliseconds now)
+void BufferedCall::noteCallTime(Milliseconds now)
 {
     if (m_attempts.size() == 1 && m_context.has(Policy::LearnedPace))
         m_context.pace(m_request.service).callTime.add(static_cast<double>((now - m_request.admittedAt).count()), now);
 }
 
-void WholeAnswerCall::answer(HttpResponse response, std::string_view outcome, std::string_view endpointId)
+void BufferedCall::answer(HttpResponse response, std::string_view outcome, std::string_view endpointId)
 {
     const auto now = m_context.now();
     noteCallTime(now);
@@ -448,7 +442,7 @@
     finish();
 }
 
-void WholeAnswerCall::refuse(RefusalReason reason)
+void BufferedCall::refuse(RefusalReason reason)
 {
     const auto now = m_context.now();
     const auto& traits = traitsOf(reason);
@@ -460,13 +454,14 @@
         .number("took_ms", (now - m_request.admittedAt).count())
         .write();
     m_context.metrics.countRequest(m_request.route->kind, traits.status, now - m_request.admittedAt);
-    const auto comeBackIn = reason == RefusalReason::HeldBack ? m_context.crashGuard.heldFor(m_request.digest)
-                                                              : comeBackAfter(unplaced(reason), now);
+    const auto comeBackIn = reason == RefusalReason::HeldInQuarantine
+        ? m_context.crashGuard.quarantineTimeLeft(m_request.digest)
+        : retryDelayAfterRefusal(unplaced(reason), now);
     m_request.exchange->respond(refusal(m_context, reason, comeBackIn));
     finish();
 }
 
-void WholeAnswerCall::finish()
+void BufferedCall::finish()
 {
     if (m_isFinished)
         return;
--- a/src/relay/WholeAnswerCall.h
+++ b/src/relay/BufferedCall.h
@@ -6,15 +6,15 @@
 //
 // A call that must not run twice is sent again only where the first sending provably did not run.
 //
-// A call that no endpoint has taken waits for a place; admission/WaitForPlace decides how long.
+// A call that no endpoint has taken waits for a place; admission/WaitForCapacity decides how long.
 // Used on the relay's thread only. Owned by its pending timers and the exchange's callback.
 #pragma once
 
-#include "relay/CrashWatch.h"
+#include "relay/CrashTracker.h"
 #include "relay/EndpointCall.h"
 #include "relay/RelayRefusal.h"
 #include "relay/RelayRequest.h"
-#include "relay/RolloutPart.h"
+#include "relay/RequestRollout.h"
 #include <boost/asio/steady_timer.hpp>
 #include <vector>
 
@@ -25,10 +25,10 @@
 class PermitWait;
 struct PlacementRequest;
 
-class WholeAnswerCall final : public EndpointCallListener, public std::enable_shared_from_this<WholeAnswerCall> {
+class BufferedCall final : public EndpointCallListener, public std::enable_shared_from_this<BufferedCall> {
 public:
     static void serve(RelayContext&, RelayRequest);
-    ~WholeAnswerCall() override;
+    ~BufferedCall() override;
 
     void callHead(EndpointCall&, const HttpResponse&, const AnswerFields&) override;
     void callBody(EndpointCall&, std::string_view) override;
@@ -45,7 +45,7 @@
         bool isCharged { false };
     };
 
-    WholeAnswerCall(RelayContext&, RelayRequest);
+    BufferedCall(RelayContext&, RelayRequest);
     void begin();
     // Sends to one more endpoint, or asks for a permit to; false when there is none. Only an endpoint of which nothing
     // bad is known is good enough where the call can wait instead.
@@ -58,7 +58,7 @@
     // True when the call has run nowhere and may be sent again.
     bool mayWait() const;
     // Waits for a place, or refuses for the reason when that is not worth it.
-    void waitForPlace(RefusalReason lastReason);
+    void waitForCapacity(RefusalReason lastReason);
     UnplacedRequest unplaced(RefusalReason lastReason);
     WaitingCall waitingCall() const;
     void tryAgain(RefusalReason lastReason);
@@ -83,8 +83,8 @@
 
     RelayContext& m_context;
     const RelayRequest m_request;
-    RolloutPart m_rollout;
-    CrashWatch m_crashWatch;
+    RequestRollout m_rollout;
+    CrashTracker m_crashWatch;
     std::vector<std::unique_ptr<Attempt>> m_attempts;
     // Set while a permit is asked for.
     std::shared_ptr<PermitWait> m_permit;
--- a/src/relay/CallProtocol.h
+++ b/src/relay/CallProtocol.h
@@ -20,7 +20,7 @@
     // Names this attempt of the caller; empty when absent.
     std::string requestId;
     // How long the caller will wait, from the moment it sent the request.
-    std::optional<Milliseconds> patience;
+    std::optional<Milliseconds> callerTimeout;
     std::string apiKey;
     // The last event that a returning caller has; absent for a stream from its start.
     std::optional<std::uint64_t> lastEventId;
@@ -36,7 +36,7 @@
 };
 
 // Where an engine finds the memory of a run that it continues.
-struct CopySource {
+struct RunMemorySource {
     // For a copy that grew beside the run, the engine that holds it; for a run that was moved, the one it left.
     SocketAddress engine;
     // The request whose run was copied, or the handle that the move gave.
@@ -61,11 +61,11 @@
     std::optional<std::uint64_t> lastEventId;
     // Engine that is to receive a growing copy of the run's memory.
     std::optional<SocketAddress> copyTo;
-    std::optional<CopySource> continueFrom;
+    std::optional<RunMemorySource> continueFrom;
 };
 
 // What an endpoint's answer says of the requests a second that it takes from all VMs together.
-struct AnsweredLimit {
+struct StatedLimit {
     // Nothing when the answer names no limit, or none that can be read.
     std::optional<double> perSecond;
     // What stands there and cannot be read; empty when all can.
@@ -73,7 +73,7 @@
 };
 
 // How long an endpoint that rejects a request wants no further one from this VM.
-struct AnsweredRest {
+struct RequestedBackOff {
     // Nothing when the answer asks for no rest, or its time cannot be read.
     std::optional<Milliseconds> time;
     // The value that cannot be read; empty when there is none.
@@ -89,9 +89,9 @@
     // True when the endpoint says that it did not run the request.
     bool isNotRun { false };
     // True when the address belongs to another incarnation than the one that was asked for.
-    bool isOtherEndpoint { false };
-    AnsweredLimit limit {};
-    AnsweredRest rest {};
+    bool isOtherIncarnation { false };
+    StatedLimit limit {};
+    RequestedBackOff rest {};
     // True when the endpoint says that it is about to end.
     bool isLeaving { false };
 };
--- a/src/relay/CrashGuard.cpp
+++ b/src/relay/CrashGuard.cpp
@@ -55,15 +55,15 @@
     return weight;
 }
 
-Standing CrashGuard::standing(const std::string& digest) const
+QuarantineStatus CrashGuard::quarantineStatus(const std::string& digest) const
 {
     if (m_quarantine.isHeld(digest, m_clock.now()))
-        return Standing::Held;
+        return QuarantineStatus::Held;
     const auto open = openWeight(digest);
-    return open > 0 && m_quarantine.wouldBeHeld(digest, open) ? Standing::UnderJudgement : Standing::Free;
+    return open > 0 && m_quarantine.wouldBeHeld(digest, open) ? QuarantineStatus::Pending : QuarantineStatus::Free;
 }
 
-Milliseconds CrashGuard::heldFor(const std::string& digest) const
+Milliseconds CrashGuard::quarantineTimeLeft(const std::string& digest) const
 {
     return std::max(m_quarantine.heldUntil(digest) - m_clock.now(), m_settings.retryAfter);
 }
@@ -92,10 +92,10 @@
     if (!m_settings.policies.has(Policy::CrashQuarantine))
         return;
     const auto& entry = loss.endpoint->entry();
-    EndpointLoss event { entry.startName(), entry.service, entry.availabilityZone, loss.digest, m_clock.now() };
-    const auto lastLife = loss.endpoint->lastLife();
-    const bool wasLost = m_losses.wasLostBefore(event.endpointId, loss.sentAt, lastLife);
-    m_losses.note(event, lastLife);
+    EndpointLoss event { entry.incarnationName(), entry.service, entry.availabilityZone, loss.digest, m_clock.now() };
+    const auto lastAliveAt = loss.endpoint->lastAliveAt();
+    const bool wasLost = m_losses.wasLostBefore(event.endpointId, loss.sentAt, lastAliveAt);
+    m_losses.note(event, lastAliveAt);
     const bool isExcused = wasLost || m_served.has(loss.digest, m_clock.now());
     const auto weight = isExcused ? 0 : crashWeight(loss.run);
     if (weight <= 0 || m_charges.size() >= mostCharges)
@@ -109,7 +109,7 @@
     if (m_isJudgementArmed || m_charges.empty())
         return;
     m_isJudgementArmed = true;
-    m_judgementTimer.expires_after(m_charges.front().event.at + EndpointLosses::moment - m_clock.now());
+    m_judgementTimer.expires_after(m_charges.front().event.at + EndpointLosses::correlationWindow - m_clock.now());
     m_judgementTimer.async_wait([this](boost::system::error_code error) {
         if (error)
             return;
@@ -120,7 +120,7 @@
 
 void CrashGuard::judge()
 {
-    const auto due = m_clock.now() - EndpointLosses::moment;
+    const auto due = m_clock.now() - EndpointLosses::correlationWindow;
     while (!m_charges.empty() && m_charges.front().event.at <= due) {
         const auto charge = std::move(m_charges.front());
         m_charges.pop_front();
@@ -129,30 +129,30 @@
     armJudgement();
 }
 
-bool CrashGuard::wentWithOthers(const Charge& charge) const
+bool CrashGuard::isCorrelatedLoss(const Charge& charge) const
 {
-    OtherEndpoints others;
+    OtherEndpointCounts others;
     for (const auto& endpoint : m_directory.endpointsOf(charge.event.service)) {
-        if (endpoint->entry().startName() == charge.event.endpointId)
+        if (endpoint->entry().incarnationName() == charge.event.endpointId)
             continue;
         ++others.inService;
         others.inZone += endpoint->entry().availabilityZone == charge.event.zone;
     }
     // One that has said in the meantime that it leaves was leaving already.
-    return charge.loss.endpoint->entry().isDraining || m_losses.wentWithOthers(charge.event, others);
+    return charge.loss.endpoint->entry().isDraining || m_losses.isCorrelatedLoss(charge.event, others);
 }
 
 void CrashGuard::judge(const Charge& charge)
 {
     const auto& loss = charge.loss;
-    const bool isExplained = wentWithOthers(charge);
+    const bool isExplained = isCorrelatedLoss(charge);
     LogEvent("quarantine.judged")
         .text("request", loss.requestId)
         .text("digest", loss.digest)
         .text("endpoint", charge.event.endpointId)
         .text("zone", charge.event.zone)
         .text("failure", traitsOf(loss.run.failure).name)
-        .text("beginning", nameIn(runBeginningNames, loss.run.beginning))
+        .text("beginning", nameIn(runStartNames, loss.run.beginning))
         .number("worked_ms", loss.run.workedFor.count())
         .number("weight_percent", inPercent(charge.weight))
         .flag("went_with_others", isExplained)
@@ -175,14 +175,14 @@
     const bool wasHeld = m_quarantine.isHeld(record.digest, now);
     // What a VM hears late, or once more after its start, is as old as it is.
     const auto age
-        = std::clamp(Milliseconds { timeOfDayAt(now) - record.lostAt }, Milliseconds { 0 }, Quarantine::recordTime);
+        = std::clamp(Milliseconds { timeOfDayAt(now) - record.lostAt }, Milliseconds { 0 }, Quarantine::recordLifetime);
     if (!m_quarantine.add(record, record.lostAt > 0 ? now - age : now, isShared) || wasHeld
         || !m_quarantine.isHeld(record.digest, now))
         return;
     LogEvent("quarantine.held")
         .text("digest", record.digest)
         .text("last_endpoint", record.endpointId)
-        .number("for_ms", heldFor(record.digest).count())
+        .number("for_ms", quarantineTimeLeft(record.digest).count())
         .number("suspects", static_cast<std::int64_t>(m_quarantine.suspectCount()))
         .write();
     tellHeld(record.digest);
@@ -220,13 +220,13 @@
         m_reports->withdraw(digest, endpoints);
 }
 
-void CrashGuard::take(const CrashRecord& record)
+void CrashGuard::addRemoteRecord(const CrashRecord& record)
 {
     if (m_settings.policies.has(Policy::CrashQuarantine) && !m_served.has(record.digest, m_clock.now()))
         add(record, true);
 }
 
-void CrashGuard::drop(const std::string& digest, const std::string& endpointId)
+void CrashGuard::removeRemoteRecord(const std::string& digest, const std::string& endpointId)
 {
     m_quarantine.remove(digest, endpointId);
 }
--- a/src/relay/CrashGuard.h
+++ b/src/relay/CrashGuard.h
@@ -7,7 +7,7 @@
 //
 //     guard.watch(digest, call);                           // call->requestHeld() may follow.
 //     guard.noteLoss(loss);
-//     switch (guard.standing(digest)) ...
+//     switch (guard.quarantineStatus(digest)) ...
 //     guard.noteHarmless(digest);
 //
 // Used on the relay's thread only. Lives for the process.
@@ -16,8 +16,8 @@
 #include "quarantine/CrashWeight.h"
 #include "quarantine/EndpointLosses.h"
 #include "quarantine/Quarantine.h"
+#include "quarantine/QuarantineStatus.h"
 #include "quarantine/ServedRequests.h"
-#include "quarantine/Standing.h"
 #include <boost/asio/steady_timer.hpp>
 #include <memory>
 
@@ -61,9 +61,9 @@
 
     // Whether a new attempt of the request may be served.
     bool admit(const std::string& digest) { return m_quarantine.admit(digest, m_clock.now()); }
-    Standing standing(const std::string& digest) const;
+    QuarantineStatus quarantineStatus(const std::string& digest) const;
     // How long the request is still held, or until another trial of it may be over.
-    Milliseconds heldFor(const std::string& digest) const;
+    Milliseconds quarantineTimeLeft(const std::string& digest) const;
     // True when something speaks against the request, judged or not.
     bool isSuspect(const std::string& digest) const;
     // Tells the listener when the request is held, until it is taken off again.
@@ -77,8 +77,8 @@
     void noteHarmless(const std::string& digest);
 
     // What another VM has published, or taken back.
-    void take(const CrashRecord&);
-    void drop(const std::string& digest, const std::string& endpointId);
+    void addRemoteRecord(const CrashRecord&);
+    void removeRemoteRecord(const std::string& digest, const std::string& endpointId);
 
 private:
     struct Charge {
@@ -90,7 +90,7 @@
     void armJudgement();
     void judge();
     void judge(const Charge&);
-    bool wentWithOthers(const Charge&) const;
+    bool isCorrelatedLoss(const Charge&) const;
     double openWeight(const std::string& digest) const;
     std::int64_t timeOfDayAt(Milliseconds instant) const;
     void add(const CrashRecord&, bool isShared);
--- a/src/relay/CrashWatch.cpp
+++ b/src/relay/CrashTracker.cpp
@@ -1,4 +1,4 @@
-#include "relay/CrashWatch.h"
+#include "relay/CrashTracker.h"
 
 #include "relay/RelayContext.h"
 #include "relay/RelayEndpoint.h"
@@ -6,7 +6,7 @@
 
 namespace lupinknot::internal {
 
-class CrashWatch::Listener final : public HeldListener {
+class CrashTracker::Listener final : public HeldListener {
 public:
     explicit Listener(std::function<void()> held)
         : m_held(std::move(held))
@@ -27,21 +27,21 @@
     std::function<void()> m_held;
 };
 
-CrashWatch::CrashWatch(RelayContext& context, const RelayRequest& request)
+CrashTracker::CrashTracker(RelayContext& context, const RelayRequest& request)
     : m_context(context)
     , m_request(request)
 {
 }
 
-CrashWatch::~CrashWatch() { end(); }
+CrashTracker::~CrashTracker() { end(); }
 
-void CrashWatch::begin(std::function<void()> held)
+void CrashTracker::begin(std::function<void()> held)
 {
     m_listener = std::make_shared<Listener>(std::move(held));
     m_context.crashGuard.watch(m_request.digest, m_listener);
 }
 
-void CrashWatch::end()
+void CrashTracker::end()
 {
     if (!m_listener)
         return;
@@ -50,25 +50,27 @@
     m_listener.reset();
 }
 
-AttemptState CrashWatch::attemptState(unsigned possibleRuns) const
+AttemptState CrashTracker::attemptState(unsigned possibleRuns) const
 {
     const auto& route = *m_request.route;
-    return { m_context.crashGuard.standing(m_request.digest), possibleRuns, route.maxAttempts, route.mayRunAgain() };
+    return { m_context.crashGuard.quarantineStatus(m_request.digest), possibleRuns, route.maxAttempts,
+        route.mayRunAgain() };
 }
 
-bool CrashWatch::isSuspect() const { return m_context.crashGuard.isSuspect(m_request.digest); }
+bool CrashTracker::isSuspect() const { return m_context.crashGuard.isSuspect(m_request.digest); }
 
-void CrashWatch::noteUnfinished(const std::shared_ptr<RelayEndpoint>& endpoint, Milliseconds sentAt, UnfinishedRun run)
+void CrashTracker::noteUnfinished(
+    const std::shared_ptr<RelayEndpoint>& endpoint, Milliseconds sentAt, UnfinishedRun run)
 {
     run.wasLeaving = endpoint->isLeaving();
     m_context.crashGuard.noteLoss({ m_request.fields.requestId, m_request.digest, endpoint, sentAt, run });
 }
 
-void CrashWatch::noteProducing(Milliseconds producedFor)
+void CrashTracker::noteProducing(Milliseconds producedFor)
 {
     m_context.crashGuard.noteProducing(m_request.digest, producedFor);
 }
 
-void CrashWatch::noteHarmless() { m_context.crashGuard.noteHarmless(m_request.digest); }
+void CrashTracker::noteHarmless() { m_context.crashGuard.noteHarmless(m_request.digest); }
 
 } // namespace lupinknot::internal
--- a/src/relay/CrashWatch.h
+++ b/src/relay/CrashTracker.h
@@ -1,9 +1,9 @@
 // One request's dealings with the CrashGuard, for as long as its call goes on.
 //
-//     CrashWatch watch(context, request);
+//     CrashTracker watch(context, request);
 //     watch.begin([this] { held(); });             // Called when the request is held from then on.
 //     watch.noteUnfinished(endpoint, sentAt, run); // An endpoint did not finish a run of it.
-//     if (judgeAttempt(watch.attemptState(runs)) == AttemptVerdict::Allowed) ...  // It may be sent to the next one.
+//     if (decideAttempt(watch.attemptState(runs)) == AttemptDecision::Allowed) ...  // It may be sent to the next one.
 //     watch.end();
 //
 // Used on the relay's thread only. Owned by the request's call.
@@ -19,12 +19,12 @@
 struct RelayContext;
 struct RelayRequest;
 
-class CrashWatch {
+class CrashTracker {
 public:
-    CrashWatch(RelayContext&, const RelayRequest&);
-    ~CrashWatch();
-    CrashWatch(const CrashWatch&) = delete;
-    CrashWatch& operator=(const CrashWatch&) = delete;
+    CrashTracker(RelayContext&, const RelayRequest&);
+    ~CrashTracker();
+    CrashTracker(const CrashTracker&) = delete;
+    CrashTracker& operator=(const CrashTracker&) = delete;
 
     // The callback is not called after end(), nor from within a call to this object.
     void begin(std::function<void()> held);
--- a/src/relay/EndpointCall.cpp
+++ b/src/relay/EndpointCall.cpp
@@ -16,7 +16,7 @@
     switch (failure) {
     case ClientFailure::NotConnected:
         return FailureKind::ConnectionRefused;
-    case ClientFailure::ClosedBeforeAnswer:
+    case ClientFailure::ClosedBeforeResponse:
         return FailureKind::ConnectionLost;
     case ClientFailure::Truncated:
         return FailureKind::EarlyEnd;
@@ -33,8 +33,8 @@
 {
     std::shared_ptr<EndpointCall> call(
         new EndpointCall(context, std::move(endpoint), std::move(options), std::move(listener)));
-    const auto margin = context.settings.restMargin;
-    call->m_connection = call->m_endpoint->takeConnection(call->m_startedAt, call->m_options.maxRest, margin);
+    const auto margin = context.settings.idleTimeoutMargin;
+    call->m_connection = call->m_endpoint->takeConnection(call->m_startedAt, call->m_options.maxIdleTime, margin);
     call->m_connection->send(request, call->weak_from_this());
     return call;
 }
@@ -69,12 +69,12 @@
     m_endpoint->callEnded();
 }
 
-void EndpointCall::answerHead(const HttpResponse& head)
+void EndpointCall::responseHeaderReceived(const HttpResponse& head)
 {
     const auto fields = m_context.protocol.decodeAnswer(head);
     const auto now = m_context.now();
     // Other bytes and other starts of the endpoint say nothing of it.
-    const bool isItsOwn = (fields.isSigned || fields.isNotRun) && !fields.isOtherEndpoint;
+    const bool isItsOwn = (fields.isSigned || fields.isNotRun) && !fields.isOtherIncarnation;
     if (isItsOwn)
         m_endpoint->noteSignals(fields, now);
     m_isSkipping = !fields.requestId.empty() && fields.requestId != m_options.requestId;
@@ -87,12 +87,12 @@
         return;
     }
     if (isItsOwn && m_endpoint->noteLimit(fields.limit, m_startedAt, now))
-        m_context.permits->tell(m_endpoint->entry().startName(), m_endpoint->limitNews(now));
+        m_context.permits->reportLimit(m_endpoint->entry().incarnationName(), m_endpoint->limitNews(now));
     if (const auto listener = m_listener.lock())
         listener->callHead(*this, head, fields);
 }
 
-void EndpointCall::answerBody(std::string_view piece)
+void EndpointCall::responseBodyReceived(std::string_view piece)
 {
     if (m_isSkipping || m_isOver)
         return;
@@ -100,7 +100,7 @@
         listener->callBody(*this, piece);
 }
 
-bool EndpointCall::answerEnd()
+bool EndpointCall::responseEnded()
 {
     if (m_isOver)
         return false;
@@ -111,7 +111,7 @@
     const auto self = shared_from_this();
     m_hadSent = true;
     end();
-    m_endpoint->noteLife(m_context.now());
+    m_endpoint->noteAlive(m_context.now());
     // The connection becomes idle after this callback, if it does.
     boost::asio::post(m_context.ioContext, [&context = m_context, endpoint = m_endpoint, connection = m_connection] {
         endpoint->giveBack(connection, context.now());
--- a/src/relay/EndpointCall.h
+++ b/src/relay/EndpointCall.h
@@ -34,7 +34,7 @@
 struct EndpointCallOptions {
     std::string requestId;
     // Longest rest of a kept connection that may carry the call; zero opens a new one.
-    Milliseconds maxRest { 0 };
+    Milliseconds maxIdleTime { 0 };
 };
 
 class EndpointCall final : public ClientConnectionListener, public std::enable_shared_from_this<EndpointCall> {
@@ -53,9 +53,9 @@
     // Closes the connection. No callback follows.
     void cancel();
 
-    void answerHead(const HttpResponse&) override;
-    void answerBody(std::string_view) override;
-    bool answerEnd() override;
+    void responseHeaderReceived(const HttpResponse&) override;
+    void responseBodyReceived(std::string_view) override;
+    bool responseEnded() override;
     void connectionFailed(ClientFailure) override;
 
 private:
--- a/src/relay/EndpointDirectory.cpp
+++ b/src/relay/EndpointDirectory.cpp
@@ -35,7 +35,7 @@
     if (known != m_endpointsById.end()) {
         const auto endpoint = known->second;
         // One that does not say when it started is of the start that is known.
-        entry.born = std::max(entry.born, endpoint->entry().born);
+        entry.startTime = std::max(entry.startTime, endpoint->entry().startTime);
         if (endpoint->entry().isDraining != entry.isDraining || endpoint->isRemoved()) {
             ++m_counts.changed;
             logEndpoint("endpoint.changed", entry);
@@ -51,7 +51,7 @@
     const auto id = entry.id;
     const ClientConnectionSettings connection { .connectTimeout = m_settings.endpointConnectTimeout };
     const auto endpoint = std::make_shared<RelayEndpoint>(m_ioContext, entry, connection, now);
-    if (const auto departure = m_departures.find(entry.startName()); departure != m_departures.end())
+    if (const auto departure = m_departures.find(entry.incarnationName()); departure != m_departures.end())
         endpoint->restoreSignals(departure->second.signals, now);
     endpoint->updateEntry(std::move(entry), now);
     m_endpointsById.emplace(id, endpoint);
@@ -65,7 +65,7 @@
         entry.isDraining = entry.isDraining || known->second->entry().isDraining;
         return;
     }
-    const auto departure = m_departures.find(entry.startName());
+    const auto departure = m_departures.find(entry.incarnationName());
     entry.isDraining = entry.isDraining || (departure != m_departures.end() && departure->second.signals.isLeaving());
 }
 
@@ -73,14 +73,14 @@
 {
     const auto known = m_endpointsById.find(entry.id);
     const bool isListed = known != m_endpointsById.end() && !known->second->isRemoved();
-    return !isListed && m_departures.count(entry.startName()) > 0;
+    return !isListed && m_departures.count(entry.incarnationName()) > 0;
 }
 
 void EndpointDirectory::takeReturned(EndpointEntry entry, Milliseconds now)
 {
     // That it leaves is believed at once: it may still be a last resort.
     if (entry.isDraining) {
-        m_departures.at(entry.startName()).signals.noteLeaving();
+        m_departures.at(entry.incarnationName()).signals.noteLeaving();
         if (const auto known = find(entry.id))
             known->setDraining(now);
     }
@@ -90,18 +90,18 @@
 bool EndpointDirectory::retireEarlierStart(const EndpointEntry& entry, Milliseconds now)
 {
     const auto known = m_endpointsById.find(entry.id);
-    if (known == m_endpointsById.end() || entry.born == 0)
+    if (known == m_endpointsById.end() || entry.startTime == 0)
         return true;
     const auto present = known->second;
-    if (entry.born < present->entry().born) {
+    if (entry.startTime < present->entry().startTime) {
         LogEvent("endpoint.stale-entry")
             .text("endpoint", entry.id)
-            .number("born", static_cast<std::int64_t>(entry.born))
-            .number("known_born", static_cast<std::int64_t>(present->entry().born))
+            .number("born", static_cast<std::int64_t>(entry.startTime))
+            .number("known_born", static_cast<std::int64_t>(present->entry().startTime))
             .write();
         return false;
     }
-    if (present->entry().born == 0 || entry.born == present->entry().born)
+    if (present->entry().startTime == 0 || entry.startTime == present->entry().startTime)
         return true;
     ++m_counts.replaced;
     logEndpoint("endpoint.restarted", entry);
@@ -134,7 +134,7 @@
     if (known == m_endpointsById.end() || known->second->isRemoved())
         return;
     const auto& entry = known->second->entry();
-    m_departures.insert_or_assign(entry.startName(), Departure { now, known->second->signals() });
+    m_departures.insert_or_assign(entry.incarnationName(), Departure { now, known->second->signals() });
     ++m_counts.removed;
     logEndpoint("endpoint.removed", known->second->entry());
     known->second->setRemoved(now);
@@ -236,8 +236,8 @@
 void EndpointDirectory::listRestored(Milliseconds now)
 {
     m_doubt = {};
-    m_missingStayUntil = now + m_settings.missingEndpointsStay;
-    m_goneStayUntil = now + m_settings.goneEndpointsStay;
+    m_missingStayUntil = now + m_settings.keepMissingEndpointsFor;
+    m_goneStayUntil = now + m_settings.ignoreGoneEndpointsFor;
 }
 
 void EndpointDirectory::settleList(Milliseconds now)
@@ -266,7 +266,7 @@
     settleList(now);
     std::erase_if(m_departures, [now](const auto& entry) {
         const auto& departure = entry.second;
-        return now - departure.at > departureRemembered && !departure.signals.isResting(now);
+        return now - departure.at > departureRemembered && !departure.signals.isInBackOff(now);
     });
     std::vector<std::shared_ptr<RelayEndpoint>> expired;
     for (const auto& known : m_endpointsById) {
@@ -280,7 +280,7 @@
 void EndpointDirectory::forget(const std::shared_ptr<RelayEndpoint>& endpoint)
 {
     // Its entry may only have lapsed: what it said of itself still holds when it is listed again.
-    if (const auto departure = m_departures.find(endpoint->entry().startName()); departure != m_departures.end())
+    if (const auto departure = m_departures.find(endpoint->entry().incarnationName()); departure != m_departures.end())
         departure->second.signals.merge(endpoint->signals());
     const auto here = m_idsByAddress.find(endpoint->entry().address.text());
     if (here != m_idsByAddress.end() && here->second == endpoint->entry().id)
@@ -319,8 +319,8 @@
 bool EndpointDirectory::isDoubtful(const RelayEndpoint& endpoint, Milliseconds now) const
 {
     const auto zone = m_zones.find(endpoint.entry().availabilityZone);
-    return zone != m_zones.end() && zone->second.failedAt > endpoint.lastLife()
-        && now - zone->second.failedAt < m_settings.doubtAfterZoneFailure;
+    return zone != m_zones.end() && zone->second.failedAt > endpoint.lastAliveAt()
+        && now - zone->second.failedAt < m_settings.suspectAfterZoneFailure;
 }
 
 bool EndpointDirectory::hasZoneFailedSince(const std::string& zone, Milliseconds since) const
--- a/src/relay/EndpointEntry.h
+++ b/src/relay/EndpointEntry.h
@@ -1,4 +1,4 @@
-// What the list of endpoints says of one endpoint. An endpoint that starts again has a new id, or was born later.
+// What the list of endpoints says of one endpoint. An endpoint that starts again has a new id, or was startTime later.
 #pragma once
 
 #include "http/SocketAddress.h"
@@ -18,10 +18,10 @@
     // Of its software; empty when unknown.
     std::string version;
     // The time of day of its start, in milliseconds; 0 when it does not say.
-    std::uint64_t born { 0 };
+    std::uint64_t startTime { 0 };
 
     // Names this start of the endpoint.
-    std::string startName() const { return born == 0 ? id : id + "@" + std::to_string(born); }
+    std::string incarnationName() const { return startTime == 0 ? id : id + "@" + std::to_string(startTime); }
 };
 
 } // namespace lupinknot::internal
--- a/src/relay/EngineChoice.cpp
+++ b/src/relay/EngineChoice.cpp
@@ -3,13 +3,13 @@
 #include "common/EventLog.h"
 #include "relay/EndpointDirectory.h"
 #include "relay/EngineForecast.h"
-#include "relay/EngineSurvey.h"
+#include "relay/EngineLoadProbe.h"
 #include "relay/Placement.h"
 #include "relay/RelayConfiguration.h"
 #include "relay/RelayContext.h"
 #include "relay/RelayRequest.h"
 #include "relay/RelaySettings.h"
-#include "relay/RolloutPart.h"
+#include "relay/RequestRollout.h"
 #include "relay/RunLocations.h"
 #include "relay/StreamRun.h"
 
@@ -18,12 +18,12 @@
 namespace lupinknot::internal {
 
 std::shared_ptr<EngineChoice> EngineChoice::make(
-    RelayContext& context, const RelayRequest& request, RolloutPart& rollout)
+    RelayContext& context, const RelayRequest& request, RequestRollout& rollout)
 {
     return std::shared_ptr<EngineChoice>(new EngineChoice(context, request, rollout));
 }
 
-EngineChoice::EngineChoice(RelayContext& context, const RelayRequest& request, RolloutPart& rollout)
+EngineChoice::EngineChoice(RelayContext& context, const RelayRequest& request, RequestRollout& rollout)
     : m_context(context)
     , m_request(request)
     , m_rollout(rollout)
@@ -90,12 +90,12 @@
 bool EngineChoice::isSound(const RelayEndpoint& engine) const
 {
     const auto now = m_context.now();
-    return !engine.isLeaving() && !engine.isAvoided(now) && !engine.isResting(now) && now >= engine.noPermitUntil()
+    return !engine.isLeaving() && !engine.isAvoided(now) && !engine.isInBackOff(now) && now >= engine.noPermitUntil()
         && !m_context.directory.isZoneAvoided(engine.entry().availabilityZone, now)
         && !m_context.directory.isDoubtful(engine, now);
 }
 
-std::optional<RunPlace> EngineChoice::placeOfCopy() const
+std::optional<RunPlace> EngineChoice::copyTarget() const
 {
     if (!m_copyHolder || !isSound(*m_copyHolder) || !m_rollout.next().admits(m_copyHolder->entry().version))
         return std::nullopt;
@@ -135,7 +135,7 @@
     auto engine = m_context.placement.choose(wantedPlacement(), now);
     if (!engine && !m_failed.empty())
         engine = m_context.placement.choose(
-            { .service = m_request.service, .version = m_rollout.next(), .mustBeSound = true }, now);
+            { .service = m_request.service, .version = m_rollout.next(), .mustBeHealthy = true }, now);
     callback(engine);
 }
 
@@ -147,12 +147,12 @@
         return false;
     // A question may count as a request at an engine that takes only so many.
     auto sound = wantedPlacement();
-    sound.mustBeSound = true;
-    sound.limited = LimitedEndpoints::LeftOut;
-    const auto engines = m_context.placement.candidates(sound, m_context.settings.surveySize, m_context.now());
+    sound.mustBeHealthy = true;
+    sound.limited = LimitedEndpoints::Excluded;
+    const auto engines = m_context.placement.candidates(sound, m_context.settings.loadProbeSize, m_context.now());
     if (engines.size() < 2)
         return false;
-    m_survey = EngineSurvey::start(m_context, engines, [weak = weak_from_this(), callback](const Engines& answered) {
+    m_survey = EngineLoadProbe::start(m_context, engines, [weak = weak_from_this(), callback](const Engines& answered) {
         if (const auto self = weak.lock())
             self->surveyed(answered, callback);
     });
@@ -181,17 +181,17 @@
         .text("endpoint", engine.entry().id)
         .number("answered", static_cast<std::int64_t>(answered))
         .number("forecast_ms", forecast.count())
-        .number("being_read", report.promptsBeingRead)
+        .number("being_read", report.promptsInPrefill)
         .number("waiting", report.promptsWaiting)
         .number("generating", report.generating)
         .number("memory_used", static_cast<std::int64_t>(report.memoryUsed))
-        .number("own_being_read", engine.promptsBeingRead())
+        .number("own_being_read", engine.promptsInPrefill())
         .write();
 }
 
 void EngineChoice::cancel() { m_survey.reset(); }
 
-std::shared_ptr<RelayEndpoint> EngineChoice::copyHolderFor(const RelayEndpoint& engine) const
+std::shared_ptr<RelayEndpoint> EngineChoice::chooseCopyHolder(const RelayEndpoint& engine) const
 {
     const auto* service = m_context.configuration->findService(m_request.service);
     if (!m_context.has(Policy::GrowingCopies) || !service || !service->copiesRunningMemory
@@ -200,29 +200,29 @@
     const PlacementRequest wanted { .service = m_request.service,
         .excluded = m_failed,
         .zonesToLeave = { engine.entry().availabilityZone },
-        .version = m_rollout.forCopies(engine),
-        .mustBeSound = true,
+        .version = m_rollout.choiceForCopies(engine),
+        .mustBeHealthy = true,
         .limited = LimitedEndpoints::NotSent };
     return m_context.placement.choose(wanted, m_context.now());
 }
 
-Milliseconds EngineChoice::patienceForPermit(bool isFromCopy) const
+Milliseconds EngineChoice::permitTimeoutFor(bool isFromCopy) const
 {
     // A copy saves the prompt from being read again, which takes longer than this pause.
     if (isFromCopy)
         return m_request.route->longestPause / 2;
     const auto now = m_context.now();
     auto other = wantedPlacement();
-    other.mustBeSound = true;
-    other.limited = LimitedEndpoints::LeftOut;
+    other.mustBeHealthy = true;
+    other.limited = LimitedEndpoints::Excluded;
     if (m_context.placement.choose(other, now))
         return Milliseconds { 0 };
     return std::max(m_request.admittedAt + m_context.settings.waitForEndpoint - now, Milliseconds { 0 });
 }
 
-std::optional<EndpointOpening> EngineChoice::nextOpening() const
+std::optional<EndpointAvailability> EngineChoice::nextAvailability() const
 {
-    return m_context.placement.nextOpening(
+    return m_context.placement.nextAvailability(
         { .service = m_request.service, .version = m_rollout.next() }, m_context.now());
 }
 
--- a/src/relay/EngineChoice.h
+++ b/src/relay/EngineChoice.h
@@ -4,13 +4,13 @@
 // then the one with the least load among a few that are asked.
 //
 //     const auto choice = EngineChoice::make(context, request, rollout);
-//     if (const auto place = choice->placeOfCopy()) ...
+//     if (const auto place = choice->copyTarget()) ...
 //     choice->choose([this](const std::shared_ptr<RelayEndpoint>& engine) { ... });       // Null when there is none.
 //
 // Used on the relay's thread only. Owned by the stream's call; no callback follows once it is gone.
 #pragma once
 
-#include "endpoint/EndpointOpening.h"
+#include "endpoint/EndpointAvailability.h"
 #include "relay/CallProtocol.h"
 #include <functional>
 #include <memory>
@@ -20,9 +20,9 @@
 
 namespace lupinknot::internal {
 
-class EngineSurvey;
+class EngineLoadProbe;
 class RelayEndpoint;
-class RolloutPart;
+class RequestRollout;
 class RunLocations;
 struct PlacementRequest;
 struct RelayContext;
@@ -32,7 +32,7 @@
 
 struct RunPlace {
     std::shared_ptr<RelayEndpoint> engine;
-    CopySource copy;
+    RunMemorySource copy;
 };
 
 class EngineChoice : public std::enable_shared_from_this<EngineChoice> {
@@ -41,7 +41,7 @@
     using Callback = std::function<void(const std::shared_ptr<RelayEndpoint>&)>;
 
     // The context, the request and the rollout part outlive it.
-    static std::shared_ptr<EngineChoice> make(RelayContext&, const RelayRequest&, RolloutPart&);
+    static std::shared_ptr<EngineChoice> make(RelayContext&, const RelayRequest&, RequestRollout&);
     ~EngineChoice();
 
     // Where a caller has come back, asks other VMs where the request ran, and calls back once. False when there is
@@ -52,7 +52,7 @@
     void forgetLocation() const;
 
     // The engine that holds a copy, if it looks sound.
-    std::optional<RunPlace> placeOfCopy() const;
+    std::optional<RunPlace> copyTarget() const;
     // The copy is named after the attempt whose memory it holds.
     void setCopy(std::shared_ptr<RelayEndpoint> holder, std::string name);
     void forgetCopy() { m_copyHolder.reset(); }
@@ -67,14 +67,14 @@
     void noteFailed(std::shared_ptr<RelayEndpoint> engine) { m_failed.push_back(std::move(engine)); }
 
     // Where a copy of a run at the engine may grow; null for nowhere.
-    std::shared_ptr<RelayEndpoint> copyHolderFor(const RelayEndpoint& engine) const;
+    std::shared_ptr<RelayEndpoint> chooseCopyHolder(const RelayEndpoint& engine) const;
     // How long the stream can wait for its place at an engine under a limit.
-    Milliseconds patienceForPermit(bool isFromCopy) const;
+    Milliseconds permitTimeoutFor(bool isFromCopy) const;
     // When the first engine takes a request again where all are limited or rest; nothing otherwise.
-    std::optional<EndpointOpening> nextOpening() const;
+    std::optional<EndpointAvailability> nextAvailability() const;
 
 private:
-    EngineChoice(RelayContext&, const RelayRequest&, RolloutPart&);
+    EngineChoice(RelayContext&, const RelayRequest&, RequestRollout&);
     // Null where VMs tell each other nothing.
     RunLocations* runLocations() const;
     void earlierRunFound(const std::optional<RunLocation>&);
@@ -89,13 +89,13 @@
 
     RelayContext& m_context;
     const RelayRequest& m_request;
-    RolloutPart& m_rollout;
+    RequestRollout& m_rollout;
     Engines m_failed;
     std::shared_ptr<RelayEndpoint> m_earlierEngine;
     std::shared_ptr<RelayEndpoint> m_copyHolder;
     std::string m_copyName;
     // Set while engines are asked where the next run should begin.
-    std::shared_ptr<EngineSurvey> m_survey;
+    std::shared_ptr<EngineLoadProbe> m_survey;
 };
 
 } // namespace lupinknot::internal
--- a/src/relay/EngineForecast.cpp
+++ b/src/relay/EngineForecast.cpp
@@ -36,18 +36,18 @@
 
 Milliseconds readTime(const EngineWork& work, const EnginePace& pace)
 {
-    return Milliseconds { static_cast<std::int64_t>(tokensOf(work, pace) * pace.readTimePerToken) };
+    return Milliseconds { static_cast<std::int64_t>(tokensOf(work, pace) * pace.prefillTimePerToken) };
 }
 
 Milliseconds forecastDelay(
     const EngineWork& work, const EngineReport& report, std::uint32_t ownPromptsBeingRead, const EnginePace& pace)
 {
-    const auto ownRead = tokensOf(work, pace) * pace.readTimePerToken;
-    const auto usualRead = pace.usualPromptTokens * pace.readTimePerToken;
+    const auto ownRead = tokensOf(work, pace) * pace.prefillTimePerToken;
+    const auto usualRead = pace.usualPromptTokens * pace.prefillTimePerToken;
     // A prompt of this VM that the report does not know of was sent just now.
-    const auto reported = report.promptsBeingRead + report.promptsWaiting;
+    const auto reported = report.promptsInPrefill + report.promptsWaiting;
     const double unreported = ownPromptsBeingRead > reported ? ownPromptsBeingRead - reported : 0;
-    const auto wait = (unreadShare * report.promptsBeingRead + report.promptsWaiting + unreported) * usualRead;
+    const auto wait = (unreadShare * report.promptsInPrefill + report.promptsWaiting + unreported) * usualRead;
     const auto slowed = slowedShare * report.generating * ownRead;
     const auto sum = std::min(wait + ownRead + slowed, static_cast<double>(longestDelay.count()));
     const Milliseconds delay { static_cast<std::int64_t>(sum) };
@@ -57,7 +57,7 @@
 Milliseconds forecastDelay(const EngineWork& work, const RelayEndpoint& endpoint, const EnginePace& pace)
 {
     const auto* const report = endpoint.report();
-    return forecastDelay(work, report ? *report : EngineReport {}, endpoint.promptsBeingRead(), pace);
+    return forecastDelay(work, report ? *report : EngineReport {}, endpoint.promptsInPrefill(), pace);
 }
 
 } // namespace lupinknot::internal
--- a/src/relay/EngineForecast.h
+++ b/src/relay/EngineForecast.h
@@ -23,7 +23,7 @@
 // What this VM has seen of the engines of a service.
 struct EnginePace {
     // Milliseconds that a token of a prompt takes to be read by an engine that reads nothing else.
-    double readTimePerToken { 0.2 };
+    double prefillTimePerToken { 0.2 };
     // Tokens of a usual prompt.
     double usualPromptTokens { 5000 };
 };
--- a/src/relay/EngineSurvey.cpp
+++ b/src/relay/EngineLoadProbe.cpp
@@ -1,7 +1,7 @@
-#include "relay/EngineSurvey.h"
+#include "relay/EngineLoadProbe.h"
 
 #include "common/EventLog.h"
-#include "http/HttpQuestion.h"
+#include "http/HttpRoundTrip.h"
 #include "relay/CallProtocol.h"
 #include "relay/RelayContext.h"
 #include "relay/RelayEndpoint.h"
@@ -10,18 +10,19 @@
 
 namespace lupinknot::internal {
 
-std::shared_ptr<EngineSurvey> EngineSurvey::start(RelayContext& context, const Engines& engines, Callback callback)
+std::shared_ptr<EngineLoadProbe> EngineLoadProbe::start(
+    RelayContext& context, const Engines& engines, Callback callback)
 {
-    std::shared_ptr<EngineSurvey> survey(new EngineSurvey(context, std::move(callback)));
+    std::shared_ptr<EngineLoadProbe> survey(new EngineLoadProbe(context, std::move(callback)));
     survey->m_open = engines.size();
     for (const auto& engine : engines)
         survey->ask(engine);
-    survey->m_timer.expires_after(context.settings.surveyTimeout);
+    survey->m_timer.expires_after(context.settings.loadProbeTimeout);
     survey->awaitRest();
     return survey;
 }
 
-EngineSurvey::EngineSurvey(RelayContext& context, Callback callback)
+EngineLoadProbe::EngineLoadProbe(RelayContext& context, Callback callback)
     : m_context(context)
     , m_callback(std::move(callback))
     , m_startedAt(context.now())
@@ -29,27 +30,27 @@
 {
 }
 
-void EngineSurvey::ask(const std::shared_ptr<RelayEndpoint>& engine)
+void EngineLoadProbe::ask(const std::shared_ptr<RelayEndpoint>& engine)
 {
     const auto& settings = m_context.settings;
-    const auto connection = engine->takeConnection(m_context.now(), settings.maxRest, settings.restMargin);
+    const auto connection = engine->takeConnection(m_context.now(), settings.maxIdleTime, settings.idleTimeoutMargin);
     m_context.metrics.engineProbes.Increment();
-    m_questions.push_back(HttpQuestion::ask(m_context.ioContext, connection, m_context.protocol.encodeLoadQuery(),
-        settings.surveyTimeout, [weak = weak_from_this(), engine, connection](const HttpOutcome& outcome) {
+    m_questions.push_back(HttpRoundTrip::ask(m_context.ioContext, connection, m_context.protocol.encodeLoadQuery(),
+        settings.loadProbeTimeout, [weak = weak_from_this(), engine, connection](const HttpRoundTripResult& outcome) {
             if (const auto self = weak.lock())
                 self->answered(engine, connection, outcome);
         }));
 }
 
-void EngineSurvey::answered(const std::shared_ptr<RelayEndpoint>& engine,
-    const std::shared_ptr<ClientConnection>& connection, const HttpOutcome& outcome)
+void EngineLoadProbe::answered(const std::shared_ptr<RelayEndpoint>& engine,
+    const std::shared_ptr<ClientConnection>& connection, const HttpRoundTripResult& outcome)
 {
     const auto now = m_context.now();
     if (outcome.answer)
         engine->noteSignals(m_context.protocol.decodeAnswer(*outcome.answer), now);
     const auto report = outcome.answer ? m_context.protocol.decodeLoad(*outcome.answer) : std::nullopt;
     if (report) {
-        engine->noteLife(now);
+        engine->noteAlive(now);
         engine->noteReport(*report, now);
         engine->giveBack(connection, now);
         m_answered.push_back(engine);
@@ -66,12 +67,12 @@
         return;
     }
     // Those that are still to answer get as long again as this one took.
-    m_timer.expires_after(
-        std::min(std::max(now - m_startedAt, m_context.settings.surveyShortestWait), m_context.settings.surveyTimeout));
+    m_timer.expires_after(std::min(
+        std::max(now - m_startedAt, m_context.settings.minLoadProbeWait), m_context.settings.loadProbeTimeout));
     awaitRest();
 }
 
-void EngineSurvey::awaitRest()
+void EngineLoadProbe::awaitRest()
 {
     m_timer.async_wait([weak = weak_from_this()](boost::system::error_code error) {
         const auto self = weak.lock();
@@ -80,7 +81,7 @@
     });
 }
 
-void EngineSurvey::end()
+void EngineLoadProbe::end()
 {
     const auto self = shared_from_this();
     m_timer.cancel();
--- a/src/relay/EngineReport.h
+++ b/src/relay/EngineReport.h
@@ -8,7 +8,7 @@
 
 struct EngineReport {
     // Prompts that the engine reads now, and prompts that wait to be read.
-    std::uint32_t promptsBeingRead { 0 };
+    std::uint32_t promptsInPrefill { 0 };
     std::uint32_t promptsWaiting { 0 };
     // Runs that produce events.
     std::uint32_t generating { 0 };
--- a/src/relay/EventStreamCall.cpp
+++ b/src/relay/EventStreamCall.cpp
@@ -11,11 +11,11 @@
 #include "relay/RelayMetrics.h"
 #include "relay/RelaySettings.h"
 #include "relay/RunCopy.h"
+#include "relay/RunLivenessMonitor.h"
 #include "relay/RunMover.h"
 #include "relay/RunRelocation.h"
-#include "relay/RunWatch.h"
-#include "relay/StreamAnswer.h"
 #include "relay/StreamLog.h"
+#include "relay/StreamResponse.h"
 
 #include <algorithm>
 
@@ -41,7 +41,7 @@
     , m_rollout(m_context, m_request)
     , m_crashWatch(m_context, m_request)
     , m_choice(EngineChoice::make(m_context, m_request, m_rollout))
-    , m_answer(StreamAnswer::make(m_request))
+    , m_answer(StreamResponse::make(m_request))
     , m_deadlineTimer(context.ioContext)
     , m_retryTimer(context.ioContext)
 {
@@ -58,7 +58,7 @@
                 (self.get()->*action)();
         };
     };
-    m_watch = RunWatch::make(
+    m_watch = RunLivenessMonitor::make(
         m_context, m_request, { guarded(&EventStreamCall::runSilent), guarded(&EventStreamCall::considerMove) });
     m_mover
         = std::make_unique<RunMover>(m_context, m_request, m_rollout, [weak = weak_from_this()](const RunMove& move) {
@@ -71,7 +71,7 @@
         if (!error)
             self->timedOut();
     });
-    m_request.exchange->onGone([self = shared_from_this()] {
+    m_request.exchange->onPeerDisconnected([self = shared_from_this()] {
         if (self->m_isFinished)
             return;
         LogEvent("request.caller-gone").text("request", self->m_request.fields.requestId).write();
@@ -83,28 +83,28 @@
 
 bool EventStreamCall::mayStartRun()
 {
-    auto verdict = mayRunOnceMore(m_crashWatch.attemptState(m_possibleRuns)) ? AttemptVerdict::Allowed
-                                                                             : AttemptVerdict::RunsSpent;
-    m_isNextCharged = verdict == AttemptVerdict::Allowed && m_arrivals > 0;
+    auto verdict = mayRunOnceMore(m_crashWatch.attemptState(m_possibleRuns)) ? AttemptDecision::Allowed
+                                                                             : AttemptDecision::RunsSpent;
+    m_isNextCharged = verdict == AttemptDecision::Allowed && m_arrivals > 0;
     auto& budget = m_context.retryBudget(m_request.service);
-    if (m_isNextCharged && !budget.take(RetryPurpose::Rescue, m_request.admittedAt, m_context.now()))
-        verdict = AttemptVerdict::RetriesSpent;
-    if (verdict != AttemptVerdict::Allowed)
+    if (m_isNextCharged && !budget.take(RetryPurpose::Failover, m_request.admittedAt, m_context.now()))
+        verdict = AttemptDecision::RetriesSpent;
+    if (verdict != AttemptDecision::Allowed)
         giveUp(refusalAfter(verdict, m_possibleRuns));
-    return verdict == AttemptVerdict::Allowed;
+    return verdict == AttemptDecision::Allowed;
 }
 
 bool EventStreamCall::isSendable()
 {
-    const auto verdict = judgeAttempt(m_crashWatch.attemptState(m_possibleRuns));
-    if (verdict == AttemptVerdict::Held)
+    const auto verdict = decideAttempt(m_crashWatch.attemptState(m_possibleRuns));
+    if (verdict == AttemptDecision::Held)
         held();
-    else if (verdict == AttemptVerdict::Undecided)
+    else if (verdict == AttemptDecision::Undecided)
         startRunLater();
-    return verdict != AttemptVerdict::Held && verdict != AttemptVerdict::Undecided;
+    return verdict != AttemptDecision::Held && verdict != AttemptDecision::Undecided;
 }
 
-void EventStreamCall::held() { giveUp(refusalAfter(AttemptVerdict::Held, m_possibleRuns)); }
+void EventStreamCall::held() { giveUp(refusalAfter(AttemptDecision::Held, m_possibleRuns)); }
 
 // A run that makes events does not end its engine, whatever others of the same request have done.
 void EventStreamCall::heldMeanwhile()
@@ -117,7 +117,7 @@
 {
     if (!isSendable())
         return;
-    if (const auto place = m_choice->placeOfCopy()) {
+    if (const auto place = m_choice->copyTarget()) {
         if (mayStartRun())
             startRunAt(place->engine, place->copy);
         return;
@@ -147,13 +147,13 @@
         startRunAt(engine, std::nullopt);
 }
 
-void EventStreamCall::startRunAt(const std::shared_ptr<RelayEndpoint>& endpoint, std::optional<CopySource> copy)
+void EventStreamCall::startRunAt(const std::shared_ptr<RelayEndpoint>& endpoint, std::optional<RunMemorySource> copy)
 {
     if (!endpoint->isLimited()) {
         sendTo(endpoint, std::move(copy));
         return;
     }
-    const auto patience = m_choice->patienceForPermit(copy.has_value());
+    const auto patience = m_choice->permitTimeoutFor(copy.has_value());
     m_permit = PermitWait::start(
         m_context, endpoint, patience, [weak = weak_from_this(), endpoint, copy = std::move(copy)](bool isGranted) {
             const auto self = weak.lock();
@@ -170,14 +170,14 @@
         });
 }
 
-void EventStreamCall::sendTo(const std::shared_ptr<RelayEndpoint>& endpoint, std::optional<CopySource> copy)
+void EventStreamCall::sendTo(const std::shared_ptr<RelayEndpoint>& endpoint, std::optional<RunMemorySource> copy)
 {
     const auto now = m_context.now();
     const auto& exchange = m_request.exchange;
     auto run = std::make_shared<StreamRun>();
     run->number = m_answer->beginRun();
     run->endpoint = endpoint;
-    run->copyHolder = m_choice->copyHolderFor(*endpoint);
+    run->copyHolder = m_choice->chooseCopyHolder(*endpoint);
     run->startedAt = now;
     run->lastActivity = now;
     run->isFromCopy = copy.has_value();
@@ -200,12 +200,12 @@
     ++m_arrivals;
     ++m_possibleRuns;
     if (!run->isFromCopy)
-        run->reading = std::make_unique<ReadingMark>(endpoint);
+        run->reading = std::make_unique<PrefillScope>(endpoint);
     m_run = run;
     m_choice->noteLocation(*run);
     const auto request = m_context.protocol.encodeForward(exchange->request(), fields);
     run->call = EndpointCall::start(
-        m_context, endpoint, request, { m_request.fields.requestId, m_context.settings.maxRest }, weak_from_this());
+        m_context, endpoint, request, { m_request.fields.requestId, m_context.settings.maxIdleTime }, weak_from_this());
     m_watch->begin(m_run);
 }
 
@@ -213,7 +213,7 @@
 {
     if (m_answer->length() == 0) {
         const auto& settings = m_context.settings;
-        const auto decision = waitOrRefuseStream(m_choice->nextOpening(), m_possibleRuns,
+        const auto decision = waitOrRefuseStream(m_choice->nextAvailability(), m_possibleRuns,
             m_request.admittedAt + settings.waitForEndpoint, settings.endpointRetryInterval, m_context.now());
         if (!decision.waits) {
             giveUp(decision.reason);
@@ -243,7 +243,7 @@
     m_run->fields = fields;
     m_run->isFramed = head.headers.find("Transfer-Encoding") || head.headers.find("Content-Length");
     m_run->isStream = head.status == okStatus && fields.isSigned;
-    m_run->endpoint->noteLife(m_context.now());
+    m_run->endpoint->noteAlive(m_context.now());
 }
 
 void EventStreamCall::callBody(EndpointCall& call, std::string_view piece)
@@ -272,7 +272,7 @@
         return;
     }
     run.lastActivity = now;
-    run.endpoint->noteLife(now);
+    run.endpoint->noteAlive(now);
     if (!run.hasEvent && m_lossAt)
         noteResumed(run, now);
     run.hasEvent = true;
@@ -284,7 +284,7 @@
     run.reading.reset();
     m_watch->noteEvent();
     if (!m_answer->hasBegun()) {
-        const auto usual = m_context.pace(m_request.service).usualFirstEvent(m_request.fields.promptTokens);
+        const auto usual = m_context.pace(m_request.service).medianTimeToFirstEvent(m_request.fields.promptTokens);
         if (!run.isFromCopy && !m_request.fields.lastEventId)
             m_rollout.noteAnswerAfter(*run.endpoint, now - run.startedAt, usual);
         m_pace.notePromptRead(run, now);
@@ -325,7 +325,7 @@
 // The engine answered with something other than a stream.
 void EventStreamCall::settleWholeAnswer(const std::shared_ptr<StreamRun>& run)
 {
-    if (run->fields.isNotRun || run->fields.isOtherEndpoint) {
+    if (run->fields.isNotRun || run->fields.isOtherIncarnation) {
         turnedAway();
         return;
     }
@@ -347,11 +347,11 @@
     m_watch->stop();
     run->reading.reset();
     logRunTurnedAway(m_request, *run);
-    if (run->fields.isOtherEndpoint) {
+    if (run->fields.isOtherIncarnation) {
         m_context.directory.remove(run->endpoint->entry().id, now);
         m_choice->noteFailed(run->endpoint);
     } else if (!run->isFromCopy) {
-        run->endpoint->avoidUntil(now + m_context.settings.avoidAfterShed);
+        run->endpoint->avoidUntil(now + m_context.settings.avoidAfterRejection);
         m_choice->noteFailed(run->endpoint);
     }
     startRun();
@@ -390,7 +390,7 @@
     const bool isSilent = kind == FailureKind::Silent;
     run->endpoint->avoidUntil(now
         + (isSilent       ? settings.avoidAfterSilence
-                : wasSent ? settings.avoidAfterBreak
+                : wasSent ? settings.avoidAfterBrokenAnswer
                           : settings.avoidAfterRefusal));
     m_context.directory.noteFailure(*run->endpoint, now);
     m_choice->noteFailed(run->endpoint);
@@ -404,9 +404,9 @@
 
 void EventStreamCall::considerMove()
 {
-    const bool leavesAttempt = m_possibleRuns + 1 < m_request.route->maxAttempts;
-    const auto expectedRest = m_answer->expectedRest(m_pace.mostEvents(), m_context.now());
-    m_mover->consider(*m_run, { leavesAttempt, expectedRest }, m_choice->failed());
+    const bool hasAttemptLeft = m_possibleRuns + 1 < m_request.route->maxAttempts;
+    const auto expectedTimeLeft = m_answer->expectedTimeLeft(m_pace.mostEvents(), m_context.now());
+    m_mover->consider(*m_run, { hasAttemptLeft, expectedTimeLeft }, m_choice->failed());
 }
 
 void EventStreamCall::moved(const RunMove& move)
@@ -427,7 +427,7 @@
     m_lossAt = m_context.now();
     m_isNextCharged = true;
     const bool isMoved = move.result == RelocationResult::Moved;
-    startRunAt(isMoved ? move.target : move.source, CopySource { move.source->entry().address, move.handle });
+    startRunAt(isMoved ? move.target : move.source, RunMemorySource { move.source->entry().address, move.handle });
 }
 
 void EventStreamCall::timedOut()
@@ -465,10 +465,10 @@
     // To come back within the same time would end no better.
     if (reason == RefusalReason::TooLittleTime)
         comeBackIn = std::max(m_request.deadline - m_context.now(), m_context.settings.retryAfter);
-    if (reason == RefusalReason::HeldBack)
-        comeBackIn = m_context.crashGuard.heldFor(m_request.digest);
-    if (const auto opening = isForOpening(reason) ? m_choice->nextOpening() : std::nullopt)
-        comeBackIn = comeBackAtOpening(*opening, fractionOfName(m_request.fields.requestId), m_context.now());
+    if (reason == RefusalReason::HeldInQuarantine)
+        comeBackIn = m_context.crashGuard.quarantineTimeLeft(m_request.digest);
+    if (const auto opening = isUnavailabilityRefusal(reason) ? m_choice->nextAvailability() : std::nullopt)
+        comeBackIn = retryDelayUntilAvailable(*opening, fractionOfName(m_request.fields.requestId), m_context.now());
     m_request.exchange->respond(refusal(m_context, reason, comeBackIn));
     finish();
 }
--- a/src/relay/EventStreamCall.h
+++ b/src/relay/EventStreamCall.h
@@ -9,13 +9,13 @@
 // Used on the relay's thread only. Owned by its pending timers and the exchange's callback.
 #pragma once
 
-#include "relay/CrashWatch.h"
+#include "relay/CrashTracker.h"
 #include "relay/EndpointCall.h"
 #include "relay/RelayRefusal.h"
 #include "relay/RelayRequest.h"
-#include "relay/RolloutPart.h"
-#include "relay/StreamPace.h"
+#include "relay/RequestRollout.h"
 #include "relay/StreamRun.h"
+#include "relay/StreamTiming.h"
 #include <boost/asio/steady_timer.hpp>
 #include <vector>
 
@@ -24,8 +24,8 @@
 class EngineChoice;
 class PermitWait;
 class RunMover;
-class RunWatch;
-class StreamAnswer;
+class RunLivenessMonitor;
+class StreamResponse;
 struct RunMove;
 
 class EventStreamCall final : public EndpointCallListener, public std::enable_shared_from_this<EventStreamCall> {
@@ -44,8 +44,8 @@
     // Starts a run somewhere, or waits for an endpoint, or gives the request up.
     void startRun();
     // Starts a run at the endpoint, or elsewhere if it is limited and no permit is to be had.
-    void startRunAt(const std::shared_ptr<RelayEndpoint>&, std::optional<CopySource>);
-    void sendTo(const std::shared_ptr<RelayEndpoint>&, std::optional<CopySource>);
+    void startRunAt(const std::shared_ptr<RelayEndpoint>&, std::optional<RunMemorySource>);
+    void sendTo(const std::shared_ptr<RelayEndpoint>&, std::optional<RunMemorySource>);
     // Null where there is none.
     void engineChosen(const std::shared_ptr<RelayEndpoint>&);
     void waitForEndpoint();
@@ -76,14 +76,14 @@
 
     RelayContext& m_context;
     const RelayRequest m_request;
-    StreamPace m_pace;
-    RolloutPart m_rollout;
-    CrashWatch m_crashWatch;
+    StreamTiming m_pace;
+    RequestRollout m_rollout;
+    CrashTracker m_crashWatch;
     const std::shared_ptr<EngineChoice> m_choice;
-    const std::shared_ptr<StreamAnswer> m_answer;
+    const std::shared_ptr<StreamResponse> m_answer;
     std::shared_ptr<StreamRun> m_run;
     // Null before the call begins.
-    std::shared_ptr<RunWatch> m_watch;
+    std::shared_ptr<RunLivenessMonitor> m_watch;
     // Set while a permit is asked for.
     std::shared_ptr<PermitWait> m_permit;
     // Null before the call begins.
--- a/src/relay/PermitWait.cpp
+++ b/src/relay/PermitWait.cpp
@@ -13,7 +13,7 @@
 {
     std::shared_ptr<PermitWait> wait(new PermitWait(context, std::move(endpoint), std::move(callback)));
     const auto& asked = *wait->m_endpoint;
-    context.permits->ask({ asked.entry().startName(), asked.limitNews(context.now()), patience },
+    context.permits->ask({ asked.entry().incarnationName(), asked.limitNews(context.now()), patience },
         [weak = wait->weak_from_this()](const PermitAnswer& answer) {
             if (const auto self = weak.lock())
                 self->answered(answer);
@@ -32,7 +32,7 @@
 void PermitWait::answered(const PermitAnswer& answer)
 {
     const auto now = m_context.now();
-    m_endpoint->noteLimitNews(answer.news, now);
+    m_endpoint->noteLimitNews(answer.report, now);
     LogEvent("endpoint.permit", answer.isGranted ? LogImportance::Routine : LogImportance::Notable)
         .text("endpoint", m_endpoint->entry().id)
         .flag("granted", answer.isGranted)
--- a/src/relay/Placement.cpp
+++ b/src/relay/Placement.cpp
@@ -64,7 +64,7 @@
         if (!isEligible(*endpoint, request, now))
             continue;
         const auto sum = cost(*endpoint, request, now) - (endpoint.get() == favourite ? request.preference : 0.0);
-        if (!request.mustBeSound || sum < failingZoneCost)
+        if (!request.mustBeHealthy || sum < failingZoneCost)
             found.push_back({ sum, endpoint });
     }
     auto best = cheapest(found, count);
@@ -114,19 +114,19 @@
     return endpoint.mayTakeWork(now, m_settings.leavingEndpointGrace) && isInQuestion(endpoint, request);
 }
 
-std::optional<EndpointOpening> Placement::nextOpening(const PlacementRequest& request, Milliseconds now) const
+std::optional<EndpointAvailability> Placement::nextAvailability(const PlacementRequest& request, Milliseconds now) const
 {
-    std::optional<EndpointOpening> next;
+    std::optional<EndpointAvailability> next;
     for (const auto& endpoint : m_directory.endpointsOf(request.service)) {
         if (endpoint->isLeaving() || !isInQuestion(*endpoint, request))
             continue;
-        const bool isResting = endpoint->isResting(now);
+        const bool isInBackOff = endpoint->isInBackOff(now);
         // One that is only full or out of reach may have a place sooner.
-        if (!isResting && !endpoint->isLimited())
+        if (!isInBackOff && !endpoint->isLimited())
             return std::nullopt;
-        const auto at = std::max({ endpoint->noPermitUntil(), endpoint->signals().restsUntil(), now });
+        const auto at = std::max({ endpoint->noPermitUntil(), endpoint->signals().backOffUntil(), now });
         if (!next || at < next->at)
-            next = EndpointOpening { at, isResting };
+            next = EndpointAvailability { at, isInBackOff };
     }
     return next;
 }
@@ -162,7 +162,7 @@
     for (const auto& endpoint : m_directory.endpointsOf(request.service)) {
         const auto& entry = endpoint->entry();
         if (entry.availabilityZone != m_settings.availabilityZone || endpoint->isLeaving() || endpoint->isAvoided(now)
-            || endpoint->isResting(now) || !request.version.admits(entry.version))
+            || endpoint->isInBackOff(now) || !request.version.admits(entry.version))
             continue;
         const auto score = XXH64(entry.id.data(), entry.id.size(), seed);
         if (!best || score > highest) {
--- a/src/relay/Placement.h
+++ b/src/relay/Placement.h
@@ -8,7 +8,7 @@
 // the engine that has read its prompt.
 #pragma once
 
-#include "endpoint/EndpointOpening.h"
+#include "endpoint/EndpointAvailability.h"
 #include "lupinknot/Clock.h"
 #include "relay/EngineForecast.h"
 #include "rollout/VersionChoice.h"
@@ -27,7 +27,7 @@
 // What becomes of endpoints that take only so many requests a second.
 enum class LimitedEndpoints {
     Admitted, // As endpoints of that size; those for which no permit is to be had now are left out.
-    LeftOut, // For what need not be sent at all.
+    Excluded, // For what need not be sent at all.
     NotSent, // As any other: nothing is sent there.
 };
 
@@ -44,7 +44,7 @@
     // Which runners come into question, by their version.
     VersionChoice version;
     // True for the place of a copy: an endpoint that is avoided or leaving is no place for it.
-    bool mustBeSound { false };
+    bool mustBeHealthy { false };
     LimitedEndpoints limited { LimitedEndpoints::Admitted };
 };
 
@@ -59,7 +59,7 @@
         const PlacementRequest&, std::size_t count, Milliseconds now);
     // When the first endpoint takes a request again if all in question rest or are limited; nothing when one takes what
     // it gets, or when there is none.
-    std::optional<EndpointOpening> nextOpening(const PlacementRequest&, Milliseconds now) const;
+    std::optional<EndpointAvailability> nextAvailability(const PlacementRequest&, Milliseconds now) const;
     // The best of some engines that have reported their load, by forecast; null when none may take work any more.
     std::shared_ptr<RelayEndpoint> chooseReported(
         const std::vector<std::shared_ptr<RelayEndpoint>>&, const EngineWork&, const EnginePace&, Milliseconds now);
--- a/src/relay/ReadingMark.h
+++ b/src/relay/PrefillScope.h
@@ -5,16 +5,16 @@
 
 namespace lupinknot::internal {
 
-class ReadingMark {
+class PrefillScope {
 public:
-    explicit ReadingMark(std::shared_ptr<RelayEndpoint> endpoint)
+    explicit PrefillScope(std::shared_ptr<RelayEndpoint> endpoint)
         : m_endpoint(std::move(endpoint))
     {
         m_endpoint->readingStarted();
     }
-    ~ReadingMark() { m_endpoint->readingEnded(); }
-    ReadingMark(const ReadingMark&) = delete;
-    ReadingMark& operator=(const ReadingMark&) = delete;
+    ~PrefillScope() { m_endpoint->readingEnded(); }
+    PrefillScope(const PrefillScope&) = delete;
+    PrefillScope& operator=(const PrefillScope&) = delete;
 
 private:
     const std::shared_ptr<RelayEndpoint> m_endpoint;
--- a/src/relay/RelayConfiguration.cpp
+++ b/src/relay/RelayConfiguration.cpp
@@ -41,7 +41,7 @@
     return found == m_organisationByKey.end() ? nullptr : &found->second;
 }
 
-const ServiceTerms* RelayConfiguration::findService(const std::string& name) const
+const ServiceConfiguration* RelayConfiguration::findService(const std::string& name) const
 {
     const auto found = m_services.find(name);
     return found == m_services.end() ? nullptr : &found->second;
@@ -67,14 +67,14 @@
     return *this;
 }
 
-RelayConfigurationBuilder& RelayConfigurationBuilder::addService(ServiceTerms service)
+RelayConfigurationBuilder& RelayConfigurationBuilder::addService(ServiceConfiguration service)
 {
     const auto name = service.name;
     m_configuration->m_services.insert_or_assign(name, std::move(service));
     return *this;
 }
 
-RelayConfigurationBuilder& RelayConfigurationBuilder::requireKeys()
+RelayConfigurationBuilder& RelayConfigurationBuilder::requireApiKeys()
 {
     m_configuration->m_hasOrganisations = true;
     return *this;
@@ -83,7 +83,7 @@
 RelayConfigurationBuilder& RelayConfigurationBuilder::addKey(std::string key, std::string organisation)
 {
     m_configuration->m_organisationByKey.insert_or_assign(std::move(key), std::move(organisation));
-    return requireKeys();
+    return requireApiKeys();
 }
 
 RelayConfigurationBuilder& RelayConfigurationBuilder::callerLimits(const HttpServerSettings& limits)
--- a/src/relay/RelayConfiguration.h
+++ b/src/relay/RelayConfiguration.h
@@ -10,7 +10,7 @@
 
 #include "http/HttpServerSettings.h"
 #include "relay/Route.h"
-#include "relay/ServiceTerms.h"
+#include "relay/ServiceConfiguration.h"
 #include <memory>
 #include <unordered_map>
 
@@ -24,7 +24,7 @@
     // The organisation that holds the key, or null.
     const std::string* findOrganisation(const std::string& key) const;
     // The terms of the service, or null.
-    const ServiceTerms* findService(const std::string& name) const;
+    const ServiceConfiguration* findService(const std::string& name) const;
     // True when every route wants a key, but for the public ones.
     bool hasOrganisations() const { return m_hasOrganisations; }
     std::size_t routeCount() const { return m_routeCount; }
@@ -36,7 +36,7 @@
     std::uint64_t m_version { 0 };
     // The routes of each host by their path prefix.
     std::unordered_map<std::string, std::unordered_map<std::string, std::shared_ptr<const Route>>> m_routesByHost;
-    std::unordered_map<std::string, ServiceTerms> m_services;
+    std::unordered_map<std::string, ServiceConfiguration> m_services;
     std::unordered_map<std::string, std::string> m_organisationByKey;
     HttpServerSettings m_callerLimits;
     std::size_t m_routeCount { 0 };
@@ -49,9 +49,9 @@
 
     RelayConfigurationBuilder& version(std::uint64_t);
     RelayConfigurationBuilder& addRoute(Route);
-    RelayConfigurationBuilder& addService(ServiceTerms);
+    RelayConfigurationBuilder& addService(ServiceConfiguration);
     // From here on requests need a key, also when no organisation has one.
-    RelayConfigurationBuilder& requireKeys();
+    RelayConfigurationBuilder& requireApiKeys();
     RelayConfigurationBuilder& addKey(std::string key, std::string organisation);
     RelayConfigurationBuilder& callerLimits(const HttpServerSettings&);
     // Leaves the builder empty.
--- a/src/relay/RelayContext.h
+++ b/src/relay/RelayContext.h
@@ -1,7 +1,7 @@
 // What every request of the relay uses. Lives for the process; used on the relay's thread only.
 #pragma once
 
-#include "admission/WaitingRoom.h"
+#include "admission/WaitingRequestLimit.h"
 #include "lupinknot/Clock.h"
 #include "relay/RetryBudget.h"
 #include "relay/ServicePace.h"
@@ -45,7 +45,7 @@
     // Orders to move a service's traffic to another version.
     Rollouts rollouts {};
     // Requests that wait, for news or for a place.
-    WaitingRoom waitingRoom {};
+    WaitingRequestLimit waitingRequestLimit {};
 
     Milliseconds now() const { return clock.now(); }
     bool has(Policy) const;
--- a/src/relay/RelayDaemon.cpp
+++ b/src/relay/RelayDaemon.cpp
@@ -70,10 +70,10 @@
 void RelayDaemon::changeSettings(const RelaySettings& settings)
 {
     const auto share = m_settings.retrySlackShare;
-    const auto from = m_settings.retrySlackFrom;
+    const auto from = m_settings.retrySlackStartsAt;
     m_settings = settings;
     m_settings.retrySlackShare = share;
-    m_settings.retrySlackFrom = from;
+    m_settings.retrySlackStartsAt = from;
     LogEvent("settings.applied")
         .number("retry_ratio_percent", static_cast<std::int64_t>(100 * m_settings.retryRatio))
         .number("retry_slack", static_cast<std::int64_t>(m_settings.retrySlack))
@@ -102,13 +102,13 @@
 void RelayDaemon::listRestored()
 {
     m_directory.listRestored(m_clock.now());
-    m_metrics.listsRestored.Increment();
+    m_metrics.restoredLists.Increment();
 }
 
 bool RelayDaemon::beginRollout(const RolloutOrder& order)
 {
     // A VM that has just started may have spent its share already.
-    const auto share = m_clock.now() < m_settings.retrySlackFrom ? 0.0 : m_settings.retrySlackShare;
+    const auto share = m_clock.now() < m_settings.retrySlackStartsAt ? 0.0 : m_settings.retrySlackShare;
     return m_context.rollouts.begin(order, { m_settings.exposureLimit, share, m_settings.vmName });
 }
 
--- a/src/relay/RelayDaemon.h
+++ b/src/relay/RelayDaemon.h
@@ -63,7 +63,7 @@
     // then, or the process before this one has spent it.
     void delayRetrySlack(Milliseconds time)
     {
-        m_settings.retrySlackFrom = m_clock.now() + time + m_settings.retryWindow;
+        m_settings.retrySlackStartsAt = m_clock.now() + time + m_settings.retryWindow;
     }
     Rollouts& rollouts() { return m_context.rollouts; }
     // Takes part in a roll-out from here on. Returns whether the order is new.
@@ -75,7 +75,7 @@
     // The port that callers reach, also when the settings asked for any (0).
     unsigned short frontPort() const { return m_front.port(); }
     // Requests that wait, for news or for a place at an endpoint.
-    std::size_t waitingCount() const { return m_context.waitingRoom.count(); }
+    std::size_t waitingCount() const { return m_context.waitingRequestLimit.count(); }
     // What to do when the settings file may have changed.
     void onReload(std::function<void()> callback) { m_onReload = std::move(callback); }
     // Called once when a stop begins.
--- a/src/relay/RelayEndpoint.cpp
+++ b/src/relay/RelayEndpoint.cpp
@@ -31,13 +31,13 @@
 RelayEndpoint::~RelayEndpoint() { closeKeptConnections(); }
 
 std::shared_ptr<ClientConnection> RelayEndpoint::takeConnection(
-    Milliseconds now, Milliseconds maxRest, Milliseconds margin)
+    Milliseconds now, Milliseconds maxIdleTime, Milliseconds margin)
 {
     while (!m_kept.empty()) {
         const auto kept = std::move(m_kept.back());
         m_kept.pop_back();
         const auto promised = kept.connection->peerIdleTimeout();
-        const auto longest = promised ? std::min(maxRest, *promised - margin) : maxRest;
+        const auto longest = promised ? std::min(maxIdleTime, *promised - margin) : maxIdleTime;
         if (kept.connection->isIdle() && now - kept.since <= longest)
             return kept.connection;
         kept.connection->close();
@@ -102,8 +102,8 @@
     const auto& rest = fields.rest;
     if (!rest.unreadable.empty() && !std::exchange(m_isUnreadableRestSaid, true))
         LogEvent("endpoint.rest-unreadable").text("endpoint", m_entry.id).text("value", rest.unreadable).write();
-    const bool wasResting = m_signals.isResting(now);
-    if (rest.time && m_signals.noteRest(*rest.time, now))
+    const bool wasResting = m_signals.isInBackOff(now);
+    if (rest.time && m_signals.noteBackOff(*rest.time, now))
         LogEvent("endpoint.rests", wasResting ? LogImportance::Routine : LogImportance::Notable)
             .text("endpoint", m_entry.id)
             .text("service", m_entry.service)
@@ -130,7 +130,7 @@
     m_kept.clear();
 }
 
-bool RelayEndpoint::noteLimit(const AnsweredLimit& answered, Milliseconds sentAt, Milliseconds now)
+bool RelayEndpoint::noteLimit(const StatedLimit& answered, Milliseconds sentAt, Milliseconds now)
 {
     if (!answered.unreadable.empty()) {
         if (!std::exchange(m_isUnreadableLimitSaid, true))
@@ -145,9 +145,9 @@
     return change != LimitChange::None;
 }
 
-void RelayEndpoint::noteLimitNews(const LimitNews& news, Milliseconds now)
+void RelayEndpoint::noteLimitNews(const LimitReport& report, Milliseconds now)
 {
-    limitChanged(m_limit.noteNews(news.perSecond, now - news.age), "vm");
+    limitChanged(m_limit.notePeerReport(report.perSecond, now - report.age), "vm");
 }
 
 void RelayEndpoint::limitChanged(LimitChange change, std::string_view heardFrom) const
@@ -164,7 +164,7 @@
         .write();
 }
 
-void RelayEndpoint::noteLife(Milliseconds now)
+void RelayEndpoint::noteAlive(Milliseconds now)
 {
     m_lastLife = now;
     m_avoidUntil = std::min(m_avoidUntil, now);
