--- a/src/relay/RelayEndpoint.h
+++ b/src/relay/RelayEndpoint.h
@@ -5,7 +5,7 @@
 
 #include "endpoint/EndpointSignals.h"
 #include "http/ClientConnection.h"
-#include "limits/HeardLimit.h"
+#include "limits/KnownLimit.h"
 #include "limits/PermitSource.h"
 #include "relay/EndpointEntry.h"
 #include "relay/EngineReport.h"
@@ -15,7 +15,7 @@
 
 namespace lupinknot::internal {
 
-struct AnsweredLimit;
+struct StatedLimit;
 struct AnswerFields;
 
 class RelayEndpoint {
@@ -30,7 +30,7 @@
     void updateEntry(EndpointEntry, Milliseconds now);
 
     // A kept connection that has rested no longer than allowed, the one used last, or a new one.
-    std::shared_ptr<ClientConnection> takeConnection(Milliseconds now, Milliseconds maxRest, Milliseconds margin);
+    std::shared_ptr<ClientConnection> takeConnection(Milliseconds now, Milliseconds maxIdleTime, Milliseconds margin);
     std::shared_ptr<ClientConnection> openConnection();
     // Keeps a connection if it can carry another request.
     void giveBack(const std::shared_ptr<ClientConnection>&, Milliseconds now);
@@ -40,8 +40,8 @@
     void callStarted() { ++m_inFlight; }
     void callEnded() { --m_inFlight; }
 
-    // Prompts that it reads for this VM; see ReadingMark.
-    unsigned promptsBeingRead() const { return m_promptsBeingRead; }
+    // Prompts that it reads for this VM; see PrefillScope.
+    unsigned promptsInPrefill() const { return m_promptsBeingRead; }
     void readingStarted() { ++m_promptsBeingRead; }
     void readingEnded() { --m_promptsBeingRead; }
     // What it said of its load last, and when; nothing when it was never asked.
@@ -53,15 +53,15 @@
     const EndpointSignals& signals() const { return m_signals; }
     // Takes over what was known of this start before it was forgotten.
     void restoreSignals(const EndpointSignals&, Milliseconds now);
-    bool isResting(Milliseconds now) const { return m_signals.isResting(now); }
+    bool isInBackOff(Milliseconds now) const { return m_signals.isInBackOff(now); }
 
-    const HeardLimit& limit() const { return m_limit; }
+    const KnownLimit& limit() const { return m_limit; }
     // Takes over what an answer says of the endpoint's limit that came now to a request sent at the instant. Returns
     // whether that is news for other VMs.
-    bool noteLimit(const AnsweredLimit&, Milliseconds sentAt, Milliseconds now);
+    bool noteLimit(const StatedLimit&, Milliseconds sentAt, Milliseconds now);
     // Takes over what another VM has heard of it.
-    void noteLimitNews(const LimitNews&, Milliseconds now);
-    LimitNews limitNews(Milliseconds now) const { return { m_limit.perSecond(), now - m_limit.heardAt() }; }
+    void noteLimitNews(const LimitReport&, Milliseconds now);
+    LimitReport limitNews(Milliseconds now) const { return { m_limit.perSecond(), now - m_limit.heardAt() }; }
     bool isLimited() const { return m_limit.perSecond().has_value(); }
     // While it is limited, no permit for it is to be had until the instant.
     void denyPermitsUntil(Milliseconds instant) { m_noPermitUntil = instant; }
@@ -82,9 +82,9 @@
     void avoidUntil(Milliseconds instant) { m_avoidUntil = std::max(m_avoidUntil, instant); }
     bool isAvoided(Milliseconds now) const { return now < m_avoidUntil; }
     // An answer or event came: the endpoint lives.
-    void noteLife(Milliseconds now);
+    void noteAlive(Milliseconds now);
     // The last instant at which it was known to live: when it was first listed, or later.
-    Milliseconds lastLife() const { return m_lastLife; }
+    Milliseconds lastAliveAt() const { return m_lastLife; }
 
 private:
     struct KeptConnection {
@@ -107,7 +107,7 @@
     unsigned m_promptsBeingRead { 0 };
     std::optional<TimedReport> m_report;
     EndpointSignals m_signals;
-    HeardLimit m_limit;
+    KnownLimit m_limit;
     Milliseconds m_noPermitUntil { 0 };
     // Values that cannot be read are logged once each.
     bool m_isUnreadableLimitSaid { false };
--- a/src/relay/RelayHandler.cpp
+++ b/src/relay/RelayHandler.cpp
@@ -3,6 +3,7 @@
 #include "admission/StartupWait.h"
 #include "common/EventLog.h"
 #include "quarantine/RequestDigest.h"
+#include "relay/BufferedCall.h"
 #include "relay/CrashGuard.h"
 #include "relay/EndpointDirectory.h"
 #include "relay/EventStreamCall.h"
@@ -10,7 +11,6 @@
 #include "relay/RelayContext.h"
 #include "relay/RelayMetrics.h"
 #include "relay/RelaySettings.h"
-#include "relay/WholeAnswerCall.h"
 
 #include <algorithm>
 #include <xxhash.h>
@@ -56,7 +56,7 @@
     }
     const auto now = m_context.now();
     const auto fields = m_context.protocol.decodeCaller(arrived.exchange->request().headers);
-    const auto decision = decideStartup(state, { arrived.arrivedAt, fields.patience }, now);
+    const auto decision = decideStartup(state, { arrived.arrivedAt, fields.callerTimeout }, now);
     if (decision.action != StartupAction::Wait || !m_startupQueue.hold(arrived, decision.until)) {
         serve(arrived);
         return;
@@ -97,11 +97,11 @@
         .number("config_version", static_cast<std::int64_t>(request.configurationVersion))
         .write();
     if (!m_context.crashGuard.admit(request.digest))
-        refuse(request, RefusalReason::HeldBack);
+        refuse(request, RefusalReason::HeldInQuarantine);
     else if (isStream)
         EventStreamCall::serve(m_context, std::move(request));
     else
-        WholeAnswerCall::serve(m_context, std::move(request));
+        BufferedCall::serve(m_context, std::move(request));
 }
 
 std::optional<RefusalReason> RelayHandler::admit(RelayRequest& request) const
@@ -126,8 +126,9 @@
         return RefusalReason::Malformed;
     request.digest = digestOf(http, request.organisation);
     request.service = chooseService(*request.route, request.fields.requestId);
-    const auto patience = std::min(request.fields.patience.value_or(request.route->timeout), request.route->timeout);
-    request.deadline = request.admittedAt + patience;
+    const auto callerTimeout
+        = std::min(request.fields.callerTimeout.value_or(request.route->timeout), request.route->timeout);
+    request.deadline = request.admittedAt + callerTimeout;
     return std::nullopt;
 }
 
@@ -142,8 +143,8 @@
         .number("config_version", static_cast<std::int64_t>(request.configurationVersion))
         .write();
     std::optional<Milliseconds> comeBackIn;
-    if (reason == RefusalReason::HeldBack)
-        comeBackIn = m_context.crashGuard.heldFor(request.digest);
+    if (reason == RefusalReason::HeldInQuarantine)
+        comeBackIn = m_context.crashGuard.quarantineTimeLeft(request.digest);
     request.exchange->respond(refusal(m_context, reason, comeBackIn));
 }
 
--- a/src/relay/RelayMetrics.cpp
+++ b/src/relay/RelayMetrics.cpp
@@ -51,7 +51,7 @@
     , configurationVersion(
           addGauge(*m_registry, "lupinknot_relay_configuration_version", "The configuration in force."))
     , endpointsKnown(addGauge(*m_registry, "lupinknot_relay_endpoints_known", "Endpoints in the directory."))
-    , listsRestored(addCounter(*m_registry, "lupinknot_relay_lists_restored_total",
+    , restoredLists(addCounter(*m_registry, "lupinknot_relay_lists_restored_total",
           "Lists of endpoints that came from an older copy of their source."))
     , permitsGranted(addCounter(*m_registry, "lupinknot_relay_permits_granted_total",
           "Requests let through to an endpoint that takes only so many a second."))
--- a/src/relay/RelayMetrics.h
+++ b/src/relay/RelayMetrics.h
@@ -39,7 +39,7 @@
     prometheus::Gauge& configurationVersion;
     prometheus::Gauge& endpointsKnown;
     // Lists of endpoints that came from an older copy of their source.
-    prometheus::Counter& listsRestored;
+    prometheus::Counter& restoredLists;
     // Permits for endpoints under a limit.
     prometheus::Counter& permitsGranted;
     prometheus::Counter& permitsDenied;
--- a/src/relay/RelayRefusal.cpp
+++ b/src/relay/RelayRefusal.cpp
@@ -19,7 +19,7 @@
     { RefusalReason::EndpointsBusy, "endpoints-busy", 503, true, "the service's endpoints are full; try again" },
     { RefusalReason::EndpointsLimited, "endpoints-limited", 503, true,
         "the service's endpoints take only so many requests a second now; try again" },
-    { RefusalReason::EndpointsResting, "endpoints-resting", 503, true,
+    { RefusalReason::EndpointsInBackOff, "endpoints-resting", 503, true,
         "the service's endpoints have asked for a pause; try again after it" },
     { RefusalReason::RetryBudgetSpent, "retry-budget-spent", 503, true, "too many requests are retried; try again" },
     { RefusalReason::EndpointFailed, "endpoint-failed", 502, false,
@@ -28,9 +28,9 @@
     { RefusalReason::TimedOutUnsent, "timed-out-unsent", 503, true, "no endpoint took the request in time; try again" },
     { RefusalReason::TooLittleTime, "too-little-time", 503, true,
         "no engine can make the answer in the time that is left; ask again with more" },
-    { RefusalReason::HeldBack, "held-back", 503, true,
+    { RefusalReason::HeldInQuarantine, "held-back", 503, true,
         "endpoints have ended each time they began this request; it is not sent to any for a while" },
-    { RefusalReason::EndedEndpoints, "ended-endpoints", 502, false,
+    { RefusalReason::CrashedEndpoints, "ended-endpoints", 502, false,
         "endpoints have ended each time they began this request, and it is sent to no more of them" },
 } };
 
--- a/src/relay/RelaySettings.h
+++ b/src/relay/RelaySettings.h
@@ -30,7 +30,7 @@
     double retrySlackShare { 1.0 / 10 };
     // Before this instant the VM takes no share of the fixed number, and only a share of what its requests earn: what
     // the process before it has sent may still count.
-    Milliseconds retrySlackFrom { 0 };
+    Milliseconds retrySlackStartsAt { 0 };
     double retryShareAfterStart { 0.7 };
     // Share of the budget that VMs spend; the rest covers what VMs count at different instants, and what they round up.
     double retryShare { 0.87 };
@@ -45,15 +45,15 @@
     Milliseconds endpointConnectTimeout { 80 };
     // Bounds of the time after which an unanswered idempotent call is also sent to a second endpoint; between them it
     // follows from the calls that this VM has seen (ServicePace).
-    Milliseconds shortestHedgeDelay { 10 };
-    Milliseconds longestHedgeDelay { 2000 };
+    Milliseconds minHedgeDelay { 10 };
+    Milliseconds maxHedgeDelay { 2000 };
     // Longest rest after which a kept connection still carries a call that must not run twice. A peer may close a
     // resting connection at any time, and the call that crosses the close may have run.
-    Milliseconds maxRestForSingleRun { 1500 };
+    Milliseconds maxIdleTimeForSingleRun { 1500 };
     // The same for calls that may run again.
-    Milliseconds maxRest { 4000 };
+    Milliseconds maxIdleTime { 4000 };
     // Margin by which a kept connection is given up before its peer says it closes it.
-    Milliseconds restMargin { 700 };
+    Milliseconds idleTimeoutMargin { 700 };
 
     // Silence of a stream after which its engine is asked whether it lives, as long as the pace of the service is not
     // known. Events come every 30 ms, every 150 ms beside a prompt that is being read.
@@ -81,7 +81,7 @@
     Milliseconds relocateAfter { 500 };
     // A run that is expected to end sooner than this is not moved: a move costs a copy of its memory, a retry and a
     // short pause, and a second loss within this time is rare.
-    Milliseconds relocateUnlessDoneWithin { 2500 };
+    Milliseconds minTimeLeftForRelocation { 2500 };
     // How long a stream without an event waits for an endpoint when none can be asked.
     Milliseconds waitForEndpoint { 900 };
     // Pause between two looks for an endpoint.
@@ -89,11 +89,11 @@
 
     // Engines that are asked for their load before a prompt is sent to one of them: the best by what this VM knows.
     // Each question has a price (docs/POLICY.md has the trials).
-    std::size_t surveySize { 4 };
+    std::size_t loadProbeSize { 4 };
     // Time for them to answer. In a zone they take 1 to 2 ms, and the prompt then some hundred.
-    Milliseconds surveyTimeout { 60 };
+    Milliseconds loadProbeTimeout { 60 };
     // Once one has answered, the others get as long again, but no less than this.
-    Milliseconds surveyShortestWait { 5 };
+    Milliseconds minLoadProbeWait { 5 };
 
     // How many calls more than others the engine may have that a prompt's hash prefers: for a new request, and for a
     // caller who comes back behind an event and whose prompt the engine has probably read.
@@ -103,9 +103,9 @@
     // How long an endpoint is avoided after it refused a connection, fell silent, or broke off an answer.
     Milliseconds avoidAfterRefusal { 1500 };
     Milliseconds avoidAfterSilence { 2000 };
-    Milliseconds avoidAfterBreak { 300 };
+    Milliseconds avoidAfterBrokenAnswer { 300 };
     // An endpoint that turned a request away as full is avoided this long.
-    Milliseconds avoidAfterShed { 150 };
+    Milliseconds avoidAfterRejection { 150 };
     // When this many endpoints of a zone fail within the window, the whole zone is avoided for a while: a zone's
     // engines go together.
     unsigned zoneFailureCount { 2 };
@@ -113,7 +113,7 @@
     Milliseconds avoidZone { 1000 };
     // An endpoint of such a zone of which nothing has been heard since is doubted this long: a dead one stays in the
     // list for three of its heartbeats of 1.2 s.
-    Milliseconds doubtAfterZoneFailure { 4000 };
+    Milliseconds suspectAfterZoneFailure { 4000 };
     // An endpoint whose entry has gone may serve as a last resort for this long: entries also lapse while the list's
     // source is away.
     // The adapter sets it from the time that the deployment allows and the age that its news may have.
@@ -121,10 +121,10 @@
     // After the list's source has come back from an older copy, endpoints that it lacks stay for so long: those that
     // have come since the copy write their entries anew, and the news of it travels. The adapter sets this and the next
     // one from the time between two writes of an endpoint.
-    Milliseconds missingEndpointsStay { 2400 };
+    Milliseconds keepMissingEndpointsFor { 2400 };
     // The same for endpoints that it names although they are known to have gone: the entry of one that lives no more
     // lapses within this time.
-    Milliseconds goneEndpointsStay { 4100 };
+    Milliseconds ignoreGoneEndpointsFor { 4100 };
 
     // What a refusal tells the caller to wait.
     Milliseconds retryAfter { 250 };
--- a/src/relay/RolloutPart.cpp
+++ b/src/relay/RequestRollout.cpp
@@ -1,4 +1,4 @@
-#include "relay/RolloutPart.h"
+#include "relay/RequestRollout.h"
 
 #include "relay/EndpointDirectory.h"
 #include "relay/RelayContext.h"
@@ -18,37 +18,37 @@
 
 } // namespace
 
-RolloutPart::RolloutPart(RelayContext& context, const RelayRequest& request)
+RequestRollout::RequestRollout(RelayContext& context, const RelayRequest& request)
     : m_context(context)
     , m_request(request)
 {
 }
 
-bool RolloutPart::hasRunner(const VersionChoice& choice) const
+bool RequestRollout::hasRunner(const VersionChoice& choice) const
 {
     const auto& runners = m_context.directory.endpointsOf(m_request.service);
     return std::any_of(runners.begin(), runners.end(),
         [&choice](const auto& runner) { return !runner->isLeaving() && choice.admits(runner->entry().version); });
 }
 
-VersionChoice RolloutPart::next()
+VersionChoice RequestRollout::next()
 {
     auto* const rollout = m_context.rollouts.find(m_request.service);
     if (!rollout)
         return {};
     if (!m_hasSent && m_first)
         return *m_first;
-    const auto proven = rollout->proven(m_context.now());
+    const auto provenChoice = rollout->provenChoice(m_context.now());
     if (m_hasSent)
-        return hasRunner(proven) ? proven : VersionChoice {};
+        return hasRunner(provenChoice) ? provenChoice : VersionChoice {};
     const VersionChoice candidate { VersionChoice::Rule::Only, rollout->order().candidate };
-    const auto choice = hasRunner(candidate) ? rollout->choose(m_context.now()) : proven;
+    const auto choice = hasRunner(candidate) ? rollout->choose(m_context.now()) : provenChoice;
     // Callers are served by whoever is left.
     m_first = hasRunner(choice) ? choice : VersionChoice {};
     return *m_first;
 }
 
-VersionChoice RolloutPart::forCopies(const RelayEndpoint& engine) const
+VersionChoice RequestRollout::choiceForCopies(const RelayEndpoint& engine) const
 {
     const auto* const rollout = m_context.rollouts.find(m_request.service);
     if (!rollout)
@@ -56,11 +56,11 @@
     const auto& candidate = rollout->order().candidate;
     if (engine.entry().version == candidate)
         return { VersionChoice::Rule::Only, candidate };
-    const auto choice = rollout->forCopies(m_context.now());
+    const auto choice = rollout->choiceForCopies(m_context.now());
     return hasRunner(choice) ? choice : VersionChoice {};
 }
 
-void RolloutPart::noteAnswer(const RelayEndpoint& endpoint, AnswerQuality quality) const
+void RequestRollout::noteAnswer(const RelayEndpoint& endpoint, AnswerQuality quality) const
 {
     auto* const rollout = m_context.rollouts.find(m_request.service);
     if (!rollout || rollout->decision() != RolloutDecision::Undecided)
@@ -70,7 +70,7 @@
         m_request.route->name, isCandidate ? RunnerVersion::Candidate : RunnerVersion::Present, quality);
 }
 
-void RolloutPart::noteAnswerAfter(const RelayEndpoint& endpoint, Milliseconds took, Milliseconds usual) const
+void RequestRollout::noteAnswerAfter(const RelayEndpoint& endpoint, Milliseconds took, Milliseconds usual) const
 {
     const bool isSlow = took > std::max(slowFactor * usual, shortestSlowTime);
     noteAnswer(endpoint, isSlow ? AnswerQuality::Bad : AnswerQuality::Good);
--- a/src/relay/RolloutPart.h
+++ b/src/relay/RequestRollout.h
@@ -1,7 +1,7 @@
 // What one request has to do with its service's roll-out, if there is one: which runners its sendings may go to, and
 // what their answers show.
 //
-//     RolloutPart part(context, request);
+//     RequestRollout part(context, request);
 //     wanted.version = part.next();                // The same until a sending has been made.
 //     part.noteSent();
 //     part.noteAnswer(*endpoint, AnswerQuality::Bad);
@@ -20,14 +20,14 @@
 struct RelayContext;
 struct RelayRequest;
 
-class RolloutPart {
+class RequestRollout {
 public:
-    RolloutPart(RelayContext&, const RelayRequest&);
+    RequestRollout(RelayContext&, const RelayRequest&);
 
     // Runners for the next sending: the first may try a candidate, those that follow may not.
     VersionChoice next();
     // Runners that may hold a copy of the run at the engine.
-    VersionChoice forCopies(const RelayEndpoint& engine) const;
+    VersionChoice choiceForCopies(const RelayEndpoint& engine) const;
     void noteSent() { m_hasSent = true; }
     void noteAnswer(const RelayEndpoint&, AnswerQuality) const;
     // The same for an answer that came after a time, where the usual one is known.
--- a/src/relay/RetryBudget.cpp
+++ b/src/relay/RetryBudget.cpp
@@ -21,7 +21,7 @@
 {
     const bool isOwnCounted = !m_requests.empty() && now - requestedAt <= m_settings.retryWindow;
     const auto others = static_cast<double>(m_requests.size() - (isOwnCounted ? 1 : 0));
-    const bool hasJustStarted = now < m_settings.retrySlackFrom;
+    const bool hasJustStarted = now < m_settings.retrySlackStartsAt;
     const auto earned = m_settings.retryRatio * others * (hasJustStarted ? m_settings.retryShareAfterStart : 1);
     const auto granted = hasJustStarted ? 0 : m_settings.retrySlack * m_settings.retrySlackShare;
     return m_settings.retryShare * (earned + granted);
@@ -30,7 +30,7 @@
 bool RetryBudget::take(RetryPurpose purpose, Milliseconds requestedAt, Milliseconds now)
 {
     forgetOld(now);
-    const auto limit = part(requestedAt, now) * (purpose == RetryPurpose::Rescue ? 1 : m_settings.precautionShare);
+    const auto limit = part(requestedAt, now) * (purpose == RetryPurpose::Failover ? 1 : m_settings.precautionShare);
     if (static_cast<double>(m_retries.size()) + 1 > limit + m_rounding)
         return false;
     m_retries.push_back(now);
--- a/src/relay/RetryBudget.h
+++ b/src/relay/RetryBudget.h
@@ -12,7 +12,7 @@
 // follows from a full service, which strikes all VMs alike, leaves some for that.
 //
 // A VM that has just started takes no share of the fixed number for a while, and a smaller one of what it earns
-// (RelaySettings::retrySlackFrom): it does not know what it has spent before, nor whether others count it already.
+// (RelaySettings::retrySlackStartsAt): it does not know what it has spent before, nor whether others count it already.
 //
 // One budget for each service. Used on the relay's thread only.
 #pragma once
--- a/src/relay/RunWatch.h
+++ b/src/relay/RunLivenessMonitor.h
@@ -4,7 +4,7 @@
 // engines of its zone do. One that does not answer, or whose stream pauses for too long although it answers, is silent.
 // A run that must not be repeated is asked about but never taken for silent.
 //
-//     const auto watch = RunWatch::make(context, request, { onSilent, onTick });
+//     const auto watch = RunLivenessMonitor::make(context, request, { onSilent, onTick });
 //     watch->begin(run);               // Until stop() or the next run.
 //
 // Used on the relay's thread only. Owned by the stream's call, which outlives neither its callbacks nor its timer.
@@ -16,12 +16,12 @@
 
 namespace lupinknot::internal {
 
-class HttpQuestion;
-struct HttpOutcome;
+class HttpRoundTrip;
+struct HttpRoundTripResult;
 struct RelayContext;
 struct RelayRequest;
 
-class RunWatch : public std::enable_shared_from_this<RunWatch> {
+class RunLivenessMonitor : public std::enable_shared_from_this<RunLivenessMonitor> {
 public:
     struct Callbacks {
         // The engine is silent. Called at most once for each run.
@@ -31,8 +31,8 @@
     };
 
     // The request outlives the watch.
-    static std::shared_ptr<RunWatch> make(RelayContext&, const RelayRequest&, Callbacks);
-    ~RunWatch();
+    static std::shared_ptr<RunLivenessMonitor> make(RelayContext&, const RelayRequest&, Callbacks);
+    ~RunLivenessMonitor();
 
     void begin(std::shared_ptr<const StreamRun>);
     // An event has come: whatever was asked is answered.
@@ -40,19 +40,19 @@
     void stop();
 
 private:
-    RunWatch(RelayContext&, const RelayRequest&, Callbacks);
+    RunLivenessMonitor(RelayContext&, const RelayRequest&, Callbacks);
     void armLook();
     void look();
-    Milliseconds silenceBeforeQuestion(Milliseconds now) const;
+    Milliseconds silenceBeforeProbe(Milliseconds now) const;
     void ask();
-    void answered(const HttpOutcome&);
+    void answered(const HttpRoundTripResult&);
     void reportSilent();
 
     RelayContext& m_context;
     const RelayRequest& m_request;
     const Callbacks m_callbacks;
     std::shared_ptr<const StreamRun> m_run;
-    std::shared_ptr<HttpQuestion> m_question;
+    std::shared_ptr<HttpRoundTrip> m_question;
     Milliseconds m_nextQuestionAt { 0 };
     boost::asio::steady_timer m_timer;
 };
--- a/src/relay/RunLocations.h
+++ b/src/relay/RunLocations.h
@@ -25,13 +25,13 @@
 
 class RunLocations {
 public:
-    using Found = std::function<void(const std::optional<RunLocation>&)>;
+    using FindCallback = std::function<void(const std::optional<RunLocation>&)>;
 
     virtual ~RunLocations() = default;
     virtual void note(const std::string& promptId, const RunLocation&) = 0;
     virtual void forget(const std::string& promptId) = 0;
     // Calls back once, soon, also when nothing is known.
-    virtual void find(const std::string& promptId, Found) = 0;
+    virtual void find(const std::string& promptId, FindCallback) = 0;
 };
 
 } // namespace lupinknot::internal
--- a/src/relay/RunMover.cpp
+++ b/src/relay/RunMover.cpp
@@ -8,7 +8,7 @@
 #include "relay/RelayContext.h"
 #include "relay/RelayRequest.h"
 #include "relay/RelaySettings.h"
-#include "relay/RolloutPart.h"
+#include "relay/RequestRollout.h"
 #include "relay/RunCopy.h"
 #include "relay/RunRelocation.h"
 #include "relay/StreamRun.h"
@@ -17,7 +17,7 @@
 
 namespace lupinknot::internal {
 
-RunMover::RunMover(RelayContext& context, const RelayRequest& request, RolloutPart& rollout, Callback callback)
+RunMover::RunMover(RelayContext& context, const RelayRequest& request, RequestRollout& rollout, Callback callback)
     : m_context(context)
     , m_request(request)
     , m_rollout(rollout)
@@ -57,11 +57,11 @@
 {
     const auto* service = m_context.configuration->findService(m_request.service);
     const bool isPossible
-        = service && service->copiesRunningMemory && m_request.route->mayRunAgain() && !run.endpoint->isResting(now);
+        = service && service->copiesRunningMemory && m_request.route->mayRunAgain() && !run.endpoint->isInBackOff(now);
     // A run at a candidate version is not sent to it again, and its memory stays with its version.
     const bool isAtHome = m_rollout.next().admits(run.endpoint->entry().version);
-    return isPossible && isAtHome && outlook.leavesAttempt && run.hasEvent
-        && outlook.expectedRest >= m_context.settings.relocateUnlessDoneWithin
+    return isPossible && isAtHome && outlook.hasAttemptLeft && run.hasEvent
+        && outlook.expectedTimeLeft >= m_context.settings.minTimeLeftForRelocation
         && !m_context.directory.isZoneAvoided(run.endpoint->entry().availabilityZone, now);
 }
 
@@ -79,11 +79,11 @@
     const auto target = m_context.placement.choose({ .service = m_request.service,
                                                        .excluded = std::move(excluded),
                                                        .version = m_rollout.next(),
-                                                       .mustBeSound = true,
-                                                       .limited = LimitedEndpoints::LeftOut },
+                                                       .mustBeHealthy = true,
+                                                       .limited = LimitedEndpoints::Excluded },
         now);
     auto& budget = m_context.retryBudget(m_request.service);
-    if (!target || !budget.take(RetryPurpose::Precaution, m_request.admittedAt, now))
+    if (!target || !budget.take(RetryPurpose::Proactive, m_request.admittedAt, now))
         return;
     LogEvent("stream.relocating")
         .text("request", m_request.fields.requestId)
--- a/src/relay/RunMover.h
+++ b/src/relay/RunMover.h
@@ -1,7 +1,7 @@
 // Moves a stream's run ahead, to an engine where it gets a growing copy, before it needs one.
 //
 //     RunMover mover(context, request, rollout, [this](const RunMove& move) { ... });
-//     mover.consider(run, { leavesAttempt, lastEventId, expectedRest }, failedEngines);   // From time to time.
+//     mover.consider(run, { hasAttemptLeft, lastEventId, expectedTimeLeft }, failedEngines);   // From time to time.
 //
 // A retry is taken when a move begins: once the run has been stopped it has to go on. The user gives it back where the
 // run was not stopped.
@@ -17,7 +17,7 @@
 namespace lupinknot::internal {
 
 class RelayEndpoint;
-class RolloutPart;
+class RequestRollout;
 class RunRelocation;
 struct RelayContext;
 struct RelayRequest;
@@ -36,9 +36,9 @@
 // What a stream has ahead of it.
 struct StreamOutlook {
     // Another attempt may follow the move.
-    bool leavesAttempt { false };
+    bool hasAttemptLeft { false };
     // How long the stream will probably go on.
-    Milliseconds expectedRest { 0 };
+    Milliseconds expectedTimeLeft { 0 };
 };
 
 class RunMover {
@@ -47,7 +47,7 @@
     using Engines = std::vector<std::shared_ptr<RelayEndpoint>>;
 
     // The context, the request and the rollout part outlive it.
-    RunMover(RelayContext&, const RelayRequest&, RolloutPart&, Callback);
+    RunMover(RelayContext&, const RelayRequest&, RequestRollout&, Callback);
     ~RunMover();
     RunMover(const RunMover&) = delete;
     RunMover& operator=(const RunMover&) = delete;
@@ -67,7 +67,7 @@
 
     RelayContext& m_context;
     const RelayRequest& m_request;
-    RolloutPart& m_rollout;
+    RequestRollout& m_rollout;
     const Callback m_callback;
     std::shared_ptr<RunRelocation> m_relocation;
     // A move that was refused is tried again no earlier.
--- a/src/relay/RunRelocation.cpp
+++ b/src/relay/RunRelocation.cpp
@@ -1,6 +1,6 @@
 #include "relay/RunRelocation.h"
 
-#include "http/HttpQuestion.h"
+#include "http/HttpRoundTrip.h"
 #include "relay/RelayContext.h"
 #include "relay/RelayEndpoint.h"
 #include "relay/RelaySettings.h"
@@ -31,21 +31,21 @@
     const auto& settings = m_context.settings;
     const auto limit = m_isStopping ? settings.relocationStopTimeout : settings.relocationCopyTimeout;
     const auto request = m_context.protocol.encodeMoveRun(m_requestId, m_target->entry().address, m_isStopping);
-    m_question = HttpQuestion::ask(m_context.ioContext, m_source->openConnection(), request, limit,
-        [weak = weak_from_this()](const HttpOutcome& outcome) {
+    m_question = HttpRoundTrip::ask(m_context.ioContext, m_source->openConnection(), request, limit,
+        [weak = weak_from_this()](const HttpRoundTripResult& outcome) {
             if (const auto self = weak.lock())
                 self->answered(outcome);
         });
 }
 
-void RunRelocation::answered(const HttpOutcome& outcome)
+void RunRelocation::answered(const HttpRoundTripResult& outcome)
 {
     if (outcome.answer)
         m_source->noteSignals(m_context.protocol.decodeAnswer(*outcome.answer), m_context.now());
     const auto moved = outcome.answer ? m_context.protocol.decodeMoveRun(*outcome.answer) : MoveRunAnswer {};
     if (!m_isStopping) {
         // The run goes on where it is, too, if its engine has asked for a rest meanwhile.
-        if (!moved.isCopied || m_source->isResting(m_context.now())) {
+        if (!moved.isCopied || m_source->isInBackOff(m_context.now())) {
             settle(RelocationResult::Refused, "");
             return;
         }
--- a/src/relay/RunRelocation.h
+++ b/src/relay/RunRelocation.h
@@ -13,8 +13,8 @@
 
 namespace lupinknot::internal {
 
-class HttpQuestion;
-struct HttpOutcome;
+class HttpRoundTrip;
+struct HttpRoundTripResult;
 class RelayEndpoint;
 struct RelayContext;
 
@@ -49,7 +49,7 @@
     RunRelocation(RelayContext&, std::shared_ptr<RelayEndpoint> source, std::shared_ptr<RelayEndpoint> target,
         std::string requestId, Callback);
     void ask();
-    void answered(const HttpOutcome&);
+    void answered(const HttpRoundTripResult&);
     void settle(RelocationResult, const std::string& handle);
 
     RelayContext& m_context;
@@ -57,7 +57,7 @@
     const std::shared_ptr<RelayEndpoint> m_target;
     const std::string m_requestId;
     Callback m_callback;
-    std::shared_ptr<HttpQuestion> m_question;
+    std::shared_ptr<HttpRoundTrip> m_question;
     bool m_isStopping { false };
 };
 
--- a/src/relay/ServiceTerms.h
+++ b/src/relay/ServiceConfiguration.h
@@ -6,7 +6,7 @@
 
 namespace lupinknot::internal {
 
-struct ServiceTerms {
+struct ServiceConfiguration {
     std::string name;
     // Connections that one endpoint accepts from all VMs together.
     std::uint32_t maxConnections { 0 };
--- a/src/relay/ServicePace.h
+++ b/src/relay/ServicePace.h
@@ -16,7 +16,7 @@
     Estimate callTime { 75 };
     // Milliseconds that a token of a prompt takes to be read, from sending a request to its first event. Stated: that
     // of an engine that reads 5 tokens a millisecond and nothing else.
-    Estimate readTimePerToken { 0.2 };
+    Estimate prefillTimePerToken { 0.2 };
     // Milliseconds between two events of a run, on average over the run. Stated: the first customers' engines, alone.
     Estimate eventInterval { 31 };
     // Events of whole answers, as share of the most that the request allowed. Stated: half of it.
@@ -25,20 +25,20 @@
     Estimate promptTokens { 5000 };
 
     // Milliseconds from a stream's head to its first event. Stated: they come together.
-    Estimate headLead { 1 };
+    Estimate headerLead { 1 };
     // A head has come without an event: an engine that has sent none has not begun.
-    bool showsBeginnings { false };
+    bool headersShowStart { false };
 
     // What to forecast engines by: the prompt that is in the middle, and the pace of those that had an engine to
     // themselves.
     EnginePace engine() const
     {
-        return { readTimePerToken.quantile(undisturbedShare), promptTokens.quantile(middleShare) };
+        return { prefillTimePerToken.quantile(undisturbedShare), promptTokens.quantile(middleShare) };
     }
 
     // Silence of a run after which its engine is asked whether it lives. While an engine reads a prompt, its other runs
     // make an event in five times their own time. The setting holds until the pace is known.
-    Milliseconds silenceBeforeQuestion(Milliseconds setting) const
+    Milliseconds silenceBeforeProbe(Milliseconds setting) const
     {
         if (!eventInterval.isKnown())
             return setting;
@@ -48,23 +48,23 @@
     // The same before a run's first event, while its prompt is read or waits for others.
     Milliseconds silenceBeforeFirstEvent(double tokens) const
     {
-        return milliseconds(patienceShare * readTimePerToken.quantile(mostShare) * tokens);
+        return milliseconds(patienceShare * prefillTimePerToken.quantile(mostShare) * tokens);
     }
 
     // What a stream's first event takes in the middle, with a prompt of so many tokens.
-    Milliseconds usualFirstEvent(double tokens) const
+    Milliseconds medianTimeToFirstEvent(double tokens) const
     {
-        return milliseconds(readTimePerToken.quantile(middleShare) * tokens);
+        return milliseconds(prefillTimePerToken.quantile(middleShare) * tokens);
     }
 
     // Time after which an unanswered call is also sent to a second endpoint.
     Milliseconds hedgeDelay() const { return milliseconds(callTime.quantile(hedgedShare)); }
 
     // True where heads come when a request is taken, long before the engine begins it.
-    bool sendsHeadsEarly() const { return headLead.quantile(middleShare) > longestLead; }
+    bool sendsHeadersEarly() const { return headerLead.quantile(middleShare) > longestLead; }
 
     // What a call takes in the middle.
-    Milliseconds usualCallTime() const { return milliseconds(callTime.quantile(middleShare)); }
+    Milliseconds medianCallTime() const { return milliseconds(callTime.quantile(middleShare)); }
 
 private:
     static Milliseconds milliseconds(double time) { return Milliseconds { static_cast<std::int64_t>(time) }; }
--- a/src/relay/StartupQueue.cpp
+++ b/src/relay/StartupQueue.cpp
@@ -16,7 +16,7 @@
 
 bool StartupQueue::hold(const Request& request, Milliseconds until)
 {
-    if (!m_context.waitingRoom.enter(request.exchange->request().body.size()))
+    if (!m_context.waitingRequestLimit.enter(request.exchange->request().body.size()))
         return false;
     auto timer = std::make_unique<boost::asio::steady_timer>(m_context.ioContext);
     timer->expires_after(until - m_context.now());
@@ -25,7 +25,7 @@
             m_released(request);
     });
     m_held.push_back({ request, std::move(timer) });
-    request.exchange->onGone([this, weak = std::weak_ptr(request.exchange)] {
+    request.exchange->onPeerDisconnected([this, weak = std::weak_ptr(request.exchange)] {
         if (const auto exchange = weak.lock())
             take(exchange);
     });
@@ -36,7 +36,7 @@
 {
     // One that still lacks something is held again.
     for (const auto& held : std::exchange(m_held, {})) {
-        m_context.waitingRoom.leave(held.request.exchange->request().body.size());
+        m_context.waitingRequestLimit.leave(held.request.exchange->request().body.size());
         m_released(held.request);
     }
 }
@@ -47,7 +47,7 @@
         m_held.begin(), m_held.end(), [&exchange](const Held& held) { return held.request.exchange == exchange; });
     if (found == m_held.end())
         return false;
-    m_context.waitingRoom.leave(exchange->request().body.size());
+    m_context.waitingRequestLimit.leave(exchange->request().body.size());
     m_held.erase(found);
     return true;
 }
--- a/src/relay/StreamLog.cpp
+++ b/src/relay/StreamLog.cpp
@@ -6,13 +6,13 @@
 #include "relay/RelayRequest.h"
 #include "relay/RunMover.h"
 #include "relay/RunRelocation.h"
-#include "relay/StreamAnswer.h"
+#include "relay/StreamResponse.h"
 #include "relay/StreamRun.h"
 
 namespace lupinknot::internal {
 
 void logRunSent(
-    const RelayRequest& request, const StreamRun& run, const StreamAnswer& answer, bool isFirst, Milliseconds now)
+    const RelayRequest& request, const StreamRun& run, const StreamResponse& answer, bool isFirst, Milliseconds now)
 {
     const auto& endpoint = *run.endpoint;
     LogEvent("stream.sent", isFirst ? LogImportance::Routine : LogImportance::Notable)
@@ -53,7 +53,7 @@
 }
 
 void logRunLost(
-    const RelayRequest& request, const StreamRun& run, const StreamAnswer& answer, FailureKind kind, Milliseconds now)
+    const RelayRequest& request, const StreamRun& run, const StreamResponse& answer, FailureKind kind, Milliseconds now)
 {
     LogEvent("stream.run-lost")
         .text("request", request.fields.requestId)
@@ -82,7 +82,7 @@
         .write();
 }
 
-void logRunMoved(const RelayRequest& request, const RunMove& move, const StreamAnswer& answer)
+void logRunMoved(const RelayRequest& request, const RunMove& move, const StreamResponse& answer)
 {
     LogEvent("stream.relocated")
         .text("request", request.fields.requestId)
@@ -93,7 +93,7 @@
         .write();
 }
 
-void logStreamDone(const RelayRequest& request, const StreamAnswer& answer, std::string_view outcome, unsigned status,
+void logStreamDone(const RelayRequest& request, const StreamResponse& answer, std::string_view outcome, unsigned status,
     unsigned sendings, Milliseconds took)
 {
     LogEvent("stream.done", answer.isComplete() ? LogImportance::Routine : LogImportance::Notable)
--- a/src/relay/StreamAnswer.cpp
+++ b/src/relay/StreamResponse.cpp
@@ -1,4 +1,4 @@
-#include "relay/StreamAnswer.h"
+#include "relay/StreamResponse.h"
 
 #include "common/EventLog.h"
 #include "http/HttpBodySource.h"
@@ -13,9 +13,9 @@
 namespace lupinknot::internal {
 
 // Hands the events on to the caller's connection as it takes them.
-class StreamAnswer::Source final : public HttpBodySource {
+class StreamResponse::Source final : public HttpBodySource {
 public:
-    explicit Source(std::shared_ptr<const StreamAnswer> answer)
+    explicit Source(std::shared_ptr<const StreamResponse> answer)
         : m_answer(std::move(answer))
     {
     }
@@ -31,23 +31,23 @@
     }
 
 private:
-    const std::shared_ptr<const StreamAnswer> m_answer;
+    const std::shared_ptr<const StreamResponse> m_answer;
     std::size_t m_handedOn { 0 };
 };
 
-std::shared_ptr<StreamAnswer> StreamAnswer::make(const RelayRequest& request)
+std::shared_ptr<StreamResponse> StreamResponse::make(const RelayRequest& request)
 {
-    return std::shared_ptr<StreamAnswer>(new StreamAnswer(request));
+    return std::shared_ptr<StreamResponse>(new StreamResponse(request));
 }
 
-StreamAnswer::StreamAnswer(const RelayRequest& request)
+StreamResponse::StreamResponse(const RelayRequest& request)
     : m_request(request)
     , m_firstPosition(request.fields.lastEventId.value_or(0))
     , m_events({ .maxTokens = std::numeric_limits<std::size_t>::max(), .stops = {} })
 {
 }
 
-bool StreamAnswer::append(const StreamRun& run, std::vector<WholeEvent>&& events)
+bool StreamResponse::append(const StreamRun& run, std::vector<WholeEvent>&& events)
 {
     for (auto& event : events) {
         const auto position = static_cast<std::size_t>(event.id - m_firstPosition - 1);
@@ -65,7 +65,7 @@
     return true;
 }
 
-void StreamAnswer::handOn(const HttpResponse& head, Milliseconds now)
+void StreamResponse::handOn(const HttpResponse& head, Milliseconds now)
 {
     m_lastEventAt = now;
     if (!std::exchange(m_hasBegun, true)) {
@@ -75,7 +75,7 @@
     m_request.exchange->wake();
 }
 
-Milliseconds StreamAnswer::expectedRest(std::int64_t mostEvents, Milliseconds now) const
+Milliseconds StreamResponse::expectedTimeLeft(std::int64_t mostEvents, Milliseconds now) const
 {
     if (mostEvents == 0 || length() < 2)
         return Milliseconds::max();
--- a/src/relay/StreamAnswer.h
+++ b/src/relay/StreamResponse.h
@@ -3,7 +3,7 @@
 // Its events come from one run after the other; an event that does not follow the last one is not taken. The caller's
 // connection takes events when it can.
 //
-//     const auto answer = StreamAnswer::make(request);
+//     const auto answer = StreamResponse::make(request);
 //     run->number = answer->beginRun();
 //     if (!answer->append(*run, std::move(events))) ...       // The run is of no use any more.
 //     answer->handOn(run->head, now);
@@ -24,10 +24,10 @@
 struct RelayRequest;
 struct StreamRun;
 
-class StreamAnswer : public std::enable_shared_from_this<StreamAnswer> {
+class StreamResponse : public std::enable_shared_from_this<StreamResponse> {
 public:
     // The request outlives the call that owns the answer.
-    static std::shared_ptr<StreamAnswer> make(const RelayRequest&);
+    static std::shared_ptr<StreamResponse> make(const RelayRequest&);
 
     // Events of earlier runs are not taken from here on.
     AttemptNumber beginRun() { return m_events.beginAttempt(); }
@@ -50,12 +50,12 @@
     // From the first event to the last one.
     Milliseconds duration() const { return m_lastEventAt.value_or(m_firstEventAt) - m_firstEventAt; }
     // How long it will probably go on, from its pace so far and the most events that it may hold (0: unknown).
-    Milliseconds expectedRest(std::int64_t mostEvents, Milliseconds now) const;
+    Milliseconds expectedTimeLeft(std::int64_t mostEvents, Milliseconds now) const;
 
 private:
     class Source;
 
-    explicit StreamAnswer(const RelayRequest&);
+    explicit StreamResponse(const RelayRequest&);
 
     const RelayRequest& m_request;
     // Events that the caller had before.
--- a/src/relay/StreamRun.h
+++ b/src/relay/StreamRun.h
@@ -8,7 +8,7 @@
 #include "lupinknot/Generation.h"
 #include "relay/CallProtocol.h"
 #include "relay/EventSplitter.h"
-#include "relay/ReadingMark.h"
+#include "relay/PrefillScope.h"
 #include <memory>
 #include <optional>
 
@@ -27,7 +27,7 @@
     AnswerFields fields;
     EventSplitter splitter;
     // Set as long as the engine reads the prompt.
-    std::unique_ptr<ReadingMark> reading;
+    std::unique_ptr<PrefillScope> reading;
     Milliseconds startedAt { 0 };
     // When the head of its answer came: the engine has begun it. Nothing as long as none has.
     std::optional<Milliseconds> begunAt;
--- a/src/relay/StreamPace.cpp
+++ b/src/relay/StreamTiming.cpp
@@ -1,4 +1,4 @@
-#include "relay/StreamPace.h"
+#include "relay/StreamTiming.h"
 
 #include "common/EventLog.h"
 #include "relay/Policy.h"
@@ -18,24 +18,24 @@
 
 } // namespace
 
-StreamPace::StreamPace(RelayContext& context, const RelayRequest& request)
+StreamTiming::StreamTiming(RelayContext& context, const RelayRequest& request)
     : m_context(context)
     , m_request(request)
 {
 }
 
-std::int64_t StreamPace::mostEvents() const
+std::int64_t StreamTiming::mostEvents() const
 {
     const auto* service = m_context.configuration->findService(m_request.service);
     const auto tokensPerEvent = service ? service->tokensPerEvent : 0;
     return tokensPerEvent == 0 ? 0 : static_cast<std::int64_t>(m_request.fields.maxAnswerTokens / tokensPerEvent);
 }
 
-bool StreamPace::lacksTime(std::uint64_t lastEventId, bool isPromptKept) const
+bool StreamTiming::lacksTime(std::uint64_t lastEventId, bool isPromptKept) const
 {
     const auto& pace = m_context.pace(m_request.service);
     const auto reading
-        = isPromptKept ? 0.0 : pace.readTimePerToken.quantile(fastestShare) * m_request.fields.promptTokens;
+        = isPromptKept ? 0.0 : pace.prefillTimePerToken.quantile(fastestShare) * m_request.fields.promptTokens;
     const auto leastEvents = pace.answerShare.quantile(fastestShare) * static_cast<double>(mostEvents());
     const auto missing = std::max(leastEvents - static_cast<double>(lastEventId), 0.0);
     const auto needed = reading + missing * pace.eventInterval.quantile(fastestShare);
@@ -54,37 +54,37 @@
     return true;
 }
 
-void StreamPace::noteFirstEvent(const StreamRun& run, Milliseconds now)
+void StreamTiming::noteFirstEvent(const StreamRun& run, Milliseconds now)
 {
     const auto lead = std::max(now - run.begunAt.value_or(now), Milliseconds { 1 });
-    m_context.pace(m_request.service).headLead.add(static_cast<double>(lead.count()), now);
+    m_context.pace(m_request.service).headerLead.add(static_cast<double>(lead.count()), now);
 }
 
-UnfinishedRun StreamPace::unfinishedRun(const StreamRun& run, FailureKind kind, Milliseconds now)
+UnfinishedRun StreamTiming::unfinishedRun(const StreamRun& run, FailureKind kind, Milliseconds now)
 {
     auto& pace = m_context.pace(m_request.service);
-    pace.showsBeginnings = pace.showsBeginnings || (run.begunAt && !run.hasEvent);
-    const auto withoutHead = pace.showsBeginnings ? RunBeginning::NotYet : RunBeginning::Hidden;
-    const auto withHead = pace.sendsHeadsEarly() ? RunBeginning::Hidden : RunBeginning::Begun;
+    pace.headersShowStart = pace.headersShowStart || (run.begunAt && !run.hasEvent);
+    const auto withoutHead = pace.headersShowStart ? RunStart::NotYet : RunStart::Hidden;
+    const auto withHead = pace.sendsHeadersEarly() ? RunStart::Hidden : RunStart::Begun;
     const auto withoutEvent = run.begunAt ? withHead : withoutHead;
     const auto since = run.firstEventAt.value_or(run.begunAt.value_or(run.startedAt));
     // A break is a sign of the engine, silence is none.
     const auto lastSign = kind == FailureKind::Silent ? std::max(since, run.lastActivity) : now;
-    return { kind, run.hasEvent ? RunBeginning::Producing : withoutEvent, lastSign - since };
+    return { kind, run.hasEvent ? RunStart::Producing : withoutEvent, lastSign - since };
 }
 
 // Only whole prompts of a first sending show how fast engines read: others may find parts of theirs kept.
-void StreamPace::notePromptRead(const StreamRun& run, Milliseconds now)
+void StreamTiming::notePromptRead(const StreamRun& run, Milliseconds now)
 {
     const auto tokens = m_request.fields.promptTokens;
     if (tokens == 0 || m_request.fields.lastEventId || run.isFromCopy || !m_context.has(Policy::LearnedPace))
         return;
     auto& pace = m_context.pace(m_request.service);
-    pace.readTimePerToken.add(static_cast<double>((now - run.startedAt).count()) / tokens, now);
+    pace.prefillTimePerToken.add(static_cast<double>((now - run.startedAt).count()) / tokens, now);
     pace.promptTokens.add(tokens, now);
 }
 
-void StreamPace::noteWholeAnswer(std::uint64_t lastEventId, std::size_t events, Milliseconds time)
+void StreamTiming::noteWholeAnswer(std::uint64_t lastEventId, std::size_t events, Milliseconds time)
 {
     if (!m_context.has(Policy::LearnedPace))
         return;
--- a/src/relay/StreamPace.h
+++ b/src/relay/StreamTiming.h
@@ -1,6 +1,6 @@
 // What one stream shows of its service's pace, and whether that pace leaves it enough time.
 //
-//     StreamPace pace(context, request);
+//     StreamTiming pace(context, request);
 //     if (pace.lacksTime(lastEventId, isPromptKept)) ...      // Refuse it before it runs into its deadline.
 //     pace.notePromptRead(run, now);                          // Its first event has come.
 //     pace.noteWholeAnswer(lastEventId, events, time);        // It is complete.
@@ -18,9 +18,9 @@
 struct RelayRequest;
 struct StreamRun;
 
-class StreamPace {
+class StreamTiming {
 public:
-    StreamPace(RelayContext&, const RelayRequest&);
+    StreamTiming(RelayContext&, const RelayRequest&);
 
     // The most events that the whole answer may have; 0 when unknown.
     std::int64_t mostEvents() const;
--- a/src/rollout/Rollout.cpp
+++ b/src/rollout/Rollout.cpp
@@ -4,19 +4,19 @@
 
 namespace lupinknot::internal {
 
-Rollout::Rollout(RolloutOrder order, const RolloutTerms& terms)
+Rollout::Rollout(RolloutOrder order, const RolloutParameters& terms)
     : m_order(std::move(order))
     , m_budget(terms.limit, terms.slackShare, terms.vmName)
 {
 }
 
-void Rollout::moveTo(const HistoryPosition& position)
+void Rollout::setPosition(const HistoryPosition& position)
 {
     m_order.revision = position.version;
     m_order.era = position.era;
 }
 
-VersionChoice Rollout::proven(Milliseconds now) const
+VersionChoice Rollout::provenChoice(Milliseconds now) const
 {
     if (m_decision != RolloutDecision::Completed)
         return { VersionChoice::Rule::Not, m_order.candidate };
@@ -29,14 +29,14 @@
 {
     if (m_decision == RolloutDecision::Undecided && mayTry(now) && m_budget.take())
         return { VersionChoice::Rule::Only, m_order.candidate };
-    return proven(now);
+    return provenChoice(now);
 }
 
-VersionChoice Rollout::forCopies(Milliseconds now) const
+VersionChoice Rollout::choiceForCopies(Milliseconds now) const
 {
     if (m_decision == RolloutDecision::Undecided && m_isReady && mayTry(now))
         return { VersionChoice::Rule::Only, m_order.candidate };
-    return proven(now);
+    return provenChoice(now);
 }
 
 void Rollout::noteAnswer(const std::string& route, RunnerVersion version, AnswerQuality quality)
@@ -44,11 +44,11 @@
     m_evidence.note(route, version, quality);
 }
 
-void Rollout::hear(GathererWord word, Milliseconds now)
+void Rollout::applyDirective(RolloutDirective directive, Milliseconds now)
 {
-    m_isStopped = m_isStopped || word == GathererWord::Stop;
-    m_isReady = m_isReady || word == GathererWord::Ready;
-    if (word != GathererWord::Stop)
+    m_isStopped = m_isStopped || directive == RolloutDirective::Stop;
+    m_isReady = m_isReady || directive == RolloutDirective::Ready;
+    if (directive != RolloutDirective::Stop)
         m_mayTryUntil = std::max(m_mayTryUntil, now + permissionHolds);
 }
 
--- a/src/rollout/RolloutGatherer.cpp
+++ b/src/rollout/RolloutAggregator.cpp
@@ -1,4 +1,4 @@
-#include "rollout/RolloutGatherer.h"
+#include "rollout/RolloutAggregator.h"
 
 namespace lupinknot::internal {
 
@@ -12,13 +12,13 @@
 
 } // namespace
 
-RolloutGatherer::RolloutGatherer(const RolloutOrder& order, Milliseconds now)
+RolloutAggregator::RolloutAggregator(const RolloutOrder& order, Milliseconds now)
     : m_order(order)
     , m_since(now)
 {
 }
 
-void RolloutGatherer::take(const std::string& process, const VersionEvidence& evidence, bool isStopped)
+void RolloutAggregator::addReport(const std::string& process, const VersionEvidence& evidence, bool isStopped)
 {
     m_isBad = m_isBad || isStopped;
     const auto known = m_byProcess.find(process);
@@ -32,7 +32,7 @@
     update();
 }
 
-VersionEvidence RolloutGatherer::evidence() const
+VersionEvidence RolloutAggregator::evidence() const
 {
     VersionEvidence sum;
     for (const auto& account : m_byProcess)
@@ -40,28 +40,28 @@
     return sum;
 }
 
-void RolloutGatherer::update()
+void RolloutAggregator::update()
 {
     const auto judgement = judge(evidence());
     m_isBad = m_isBad || judgement == Judgement::Bad;
     m_isGood = judgement == Judgement::Good;
 }
 
-Milliseconds RolloutGatherer::instantWith(double leftShare) const
+Milliseconds RolloutAggregator::instantWith(double leftShare) const
 {
     const auto passed = (1 - leftShare) * static_cast<double>(m_order.duration.count());
     return m_since + Milliseconds { static_cast<std::int64_t>(passed) };
 }
 
-GathererWord RolloutGatherer::word(Milliseconds now)
+RolloutDirective RolloutAggregator::directive(Milliseconds now)
 {
     if (m_isBad)
-        return GathererWord::Stop;
+        return RolloutDirective::Stop;
     const bool isNear = now >= instantWith(leftWhenReady);
-    return isNear && (m_isGood || isAcceptable(evidence())) ? GathererWord::Ready : GathererWord::Try;
+    return isNear && (m_isGood || isAcceptable(evidence())) ? RolloutDirective::Ready : RolloutDirective::Try;
 }
 
-std::optional<RolloutDecision> RolloutGatherer::wanted(Milliseconds now)
+std::optional<RolloutDecision> RolloutAggregator::dueDecision(Milliseconds now)
 {
     if (m_isBad)
         return RolloutDecision::RolledBack;
--- a/src/rollout/Rollouts.cpp
+++ b/src/rollout/Rollouts.cpp
@@ -2,7 +2,7 @@
 
 namespace lupinknot::internal {
 
-bool Rollouts::begin(const RolloutOrder& order, const RolloutTerms& terms)
+bool Rollouts::begin(const RolloutOrder& order, const RolloutParameters& terms)
 {
     auto& rollout = m_byService[order.service];
     if (rollout && rollout->order().position() >= order.position())
--- a/src/rollout/Rollouts.h
+++ b/src/rollout/Rollouts.h
@@ -13,7 +13,7 @@
 public:
     // Begins to take part; a later order for the same service takes the place of an earlier one. Returns whether the
     // order is new.
-    bool begin(const RolloutOrder&, const RolloutTerms&);
+    bool begin(const RolloutOrder&, const RolloutParameters&);
     // The order is gone: versions are told apart no more.
     void end(const std::string& service) { m_byService.erase(service); }
     // The service's roll-out, or null.
--- a/src/settings/DaemonSettings.h
+++ b/src/settings/DaemonSettings.h
@@ -3,7 +3,7 @@
 
 #include "http/HttpServerSettings.h"
 #include "http/SocketAddress.h"
-#include "lupinknot/EndpointPulse.h"
+#include "lupinknot/EndpointLiveness.h"
 #include "lupinknot/RecoveryPolicy.h"
 #include "peer/PeerSettings.h"
 #include <optional>
@@ -32,7 +32,7 @@
     Milliseconds detachedGrace { 0 };
     std::int64_t maxTokens { 32768 };
     // Generations held at one time, running or kept; more are refused.
-    std::int64_t maxHeld { 20000 };
+    std::int64_t maxGenerations { 20000 };
     // When a refused caller is told to come back.
     Milliseconds retryAfter { 1000 };
 };
@@ -45,7 +45,7 @@
     Milliseconds prefill { 1200 };
     Milliseconds firstToken { 10000 };
 
-    PulseSettings pulse() const { return { detector, { floor, ceiling }, loneStream, prefill, firstToken }; }
+    LivenessSettings liveness() const { return { detector, { floor, ceiling }, loneStream, prefill, firstToken }; }
 };
 
 struct EjectionSettings {
@@ -85,9 +85,9 @@
 struct JournalSettings {
     Milliseconds flushInterval { 1 };
     // Whether generations go on, and may be lost with this VM, while no other VM can be reached.
-    bool goOnUnprotected { true };
+    bool continuesWithoutPeers { true };
     // How long an engine runs on without a connection, for another VM to attach to.
-    Milliseconds keepStream { 3000 };
+    Milliseconds detachedRunTime { 3000 };
 };
 
 struct DaemonSettings {
--- a/src/settings/SettingsTables.h
+++ b/src/settings/SettingsTables.h
@@ -47,7 +47,7 @@
         "How long a repeatable generation with an Idempotency-Key runs on after its caller has gone; 0 cancels it at "
         "once." },
     { "max_tokens", &GenerationSettings::maxTokens, 1, 1000000, "Largest `max_tokens` that a request may ask for." },
-    { "max_held", &GenerationSettings::maxHeld, 1, 10000000,
+    { "max_held", &GenerationSettings::maxGenerations, 1, 10000000,
         "Generations held at one time, running or kept; further ones are refused with 503." },
     { "retry_after_ms", &GenerationSettings::retryAfter, 1, longestTime,
         "When a refused caller is told to come back." },
@@ -96,7 +96,7 @@
     { "address", &ClusterSettings::address, 0, 0, "IP number on which this VM takes its peers' connections." },
     { "port", &ClusterSettings::port, 0, highestPort, "Port for them; 0 takes any free one." },
     { "heartbeat_ms", &ClusterSettings::heartbeatInterval, 1, longestTime, "Pause between two heartbeats to a peer." },
-    { "silence_ms", &ClusterSettings::silence, 1, longestTime,
+    { "silence_ms", &ClusterSettings::silenceTimeout, 1, longestTime,
         "A peer that has sent nothing for this long counts as lost." },
     { "reconnect_ms", &ClusterSettings::reconnectInterval, 1, longestTime,
         "Pause before a lost peer is dialled again." },
@@ -105,9 +105,9 @@
 inline const std::vector<SettingField<JournalSettings>> journalFields {
     { "flush_ms", &JournalSettings::flushInterval, 0, longestTime,
         "How long changes are gathered before a batch goes to a peer." },
-    { "go_on_unprotected", &JournalSettings::goOnUnprotected, 0, 0,
+    { "go_on_unprotected", &JournalSettings::continuesWithoutPeers, 0, 0,
         "Whether repeatable generations go on while no peer can be reached; else they are refused." },
-    { "keep_stream_ms", &JournalSettings::keepStream, 0, longestTime,
+    { "keep_stream_ms", &JournalSettings::detachedRunTime, 0, longestTime,
         "How long an engine runs a keyed generation on after this VM is lost, for a peer to attach to." },
 };
 
--- a/src/standin/EngineStandIn.cpp
+++ b/src/standin/EngineStandIn.cpp
@@ -166,7 +166,7 @@
 void EngineStandIn::attach(
     const std::shared_ptr<EngineStream>& stream, const std::shared_ptr<HttpExchange>& exchange, std::size_t position)
 {
-    exchange->onGone([this, stream, raw = exchange.get()] { connectionGone(stream, *raw); });
+    exchange->onPeerDisconnected([this, stream, raw = exchange.get()] { connectionGone(stream, *raw); });
     stream->attach(exchange, position);
 }
 
--- a/test/AttemptAdmissionTest.cpp
+++ b/test/AttemptAdmissionTest.cpp
@@ -8,71 +8,71 @@
 
 TEST_GROUP(AttemptAdmission)
 {
-    AttemptState state { Standing::Free, 0, 2, false };
+    AttemptState state { QuarantineStatus::Free, 0, 2, false };
     UnplacedRequest request { { Milliseconds { 0 }, Milliseconds { 2000 }, 0 }, std::nullopt, Milliseconds { 50 }, 0.5,
         RefusalReason::EndpointsBusy };
     const Milliseconds now { 100 };
 };
 
-TEST(AttemptAdmission, AllowsTheFirstAttempt) { CHECK(judgeAttempt(state) == AttemptVerdict::Allowed); }
+TEST(AttemptAdmission, AllowsTheFirstAttempt) { CHECK(decideAttempt(state) == AttemptDecision::Allowed); }
 
 TEST(AttemptAdmission, DoesNotRepeatWhatMayHaveRunAndMustNotRunTwice)
 {
     state.possibleRuns = 1;
-    CHECK(judgeAttempt(state) == AttemptVerdict::RunsSpent);
+    CHECK(decideAttempt(state) == AttemptDecision::RunsSpent);
     state.mayRunAgain = true;
-    CHECK(judgeAttempt(state) == AttemptVerdict::Allowed);
+    CHECK(decideAttempt(state) == AttemptDecision::Allowed);
     state.possibleRuns = 2;
-    CHECK(judgeAttempt(state) == AttemptVerdict::RunsSpent);
+    CHECK(decideAttempt(state) == AttemptDecision::RunsSpent);
 }
 
 TEST(AttemptAdmission, AsksTheQuarantineBeforeAnythingElse)
 {
     state.possibleRuns = 2;
-    state.standing = Standing::Held;
-    CHECK(judgeAttempt(state) == AttemptVerdict::Held);
-    state.standing = Standing::UnderJudgement;
-    CHECK(judgeAttempt(state) == AttemptVerdict::Undecided);
+    state.quarantineStatus = QuarantineStatus::Held;
+    CHECK(decideAttempt(state) == AttemptDecision::Held);
+    state.quarantineStatus = QuarantineStatus::Pending;
+    CHECK(decideAttempt(state) == AttemptDecision::Undecided);
 }
 
 // Only a request that has run nowhere may be answered with a promise that it has not.
 TEST(AttemptAdmission, PromisesThatARequestHasNotRunOnlyIfItHasNot)
 {
-    CHECK(refusalAfter(AttemptVerdict::Held, 0) == RefusalReason::HeldBack);
-    CHECK(refusalAfter(AttemptVerdict::Held, 1) == RefusalReason::EndedEndpoints);
-    CHECK(refusalAfter(AttemptVerdict::RetriesSpent, 0) == RefusalReason::RetryBudgetSpent);
-    CHECK(refusalAfter(AttemptVerdict::RetriesSpent, 1) == RefusalReason::EndpointFailed);
-    CHECK(refusalAfter(AttemptVerdict::RunsSpent, 1) == RefusalReason::EndpointFailed);
+    CHECK(refusalAfter(AttemptDecision::Held, 0) == RefusalReason::HeldInQuarantine);
+    CHECK(refusalAfter(AttemptDecision::Held, 1) == RefusalReason::CrashedEndpoints);
+    CHECK(refusalAfter(AttemptDecision::RetriesSpent, 0) == RefusalReason::RetryBudgetSpent);
+    CHECK(refusalAfter(AttemptDecision::RetriesSpent, 1) == RefusalReason::EndpointFailed);
+    CHECK(refusalAfter(AttemptDecision::RunsSpent, 1) == RefusalReason::EndpointFailed);
 }
 
 TEST(AttemptAdmission, KeepsRetriesOfRejectedRequestsApartFromRescues)
 {
     for (const auto reason : { RefusalReason::EndpointsBusy, RefusalReason::EndpointsLimited,
-             RefusalReason::EndpointsResting, RefusalReason::RetryBudgetSpent })
-        CHECK(purposeAfter(reason) == RetryPurpose::FullService);
+             RefusalReason::EndpointsInBackOff, RefusalReason::RetryBudgetSpent })
+        CHECK(retryPurposeAfter(reason) == RetryPurpose::AfterRejection);
     for (const auto reason : { RefusalReason::EndpointFailed, RefusalReason::NoEndpoint })
-        CHECK(purposeAfter(reason) == RetryPurpose::Rescue);
+        CHECK(retryPurposeAfter(reason) == RetryPurpose::Failover);
 }
 
 TEST(AttemptAdmission, WaitsForTheFirstEndpointToOpenWhereTheTimeAllows)
 {
-    request.opening = EndpointOpening { Milliseconds { 700 }, true };
+    request.availability = EndpointAvailability { Milliseconds { 700 }, true };
     const auto soon = waitOrRefuse(request, now);
-    CHECK(soon.waits && soon.reason == RefusalReason::EndpointsResting);
+    CHECK(soon.waits && soon.reason == RefusalReason::EndpointsInBackOff);
     CHECK(soon.pause >= Milliseconds { 600 });
-    request.opening->at = Milliseconds { 1500 };
+    request.availability->at = Milliseconds { 1500 };
     const auto late = waitOrRefuse(request, now);
-    CHECK(!late.waits && late.reason == RefusalReason::EndpointsResting);
+    CHECK(!late.waits && late.reason == RefusalReason::EndpointsInBackOff);
 }
 
 TEST(AttemptAdmission, TellsCallersTheTrueTimeSpreadBehindTheEndOfARest)
 {
-    request.opening = EndpointOpening { Milliseconds { 3000 }, true };
-    request.lastReason = RefusalReason::EndpointsResting;
+    request.availability = EndpointAvailability { Milliseconds { 3000 }, true };
+    request.lastReason = RefusalReason::EndpointsInBackOff;
     request.spread = 0;
-    LONGS_EQUAL(2900, comeBackAfter(request, now).count());
+    LONGS_EQUAL(2900, retryDelayAfterRefusal(request, now).count());
     request.spread = 1;
-    LONGS_EQUAL(2900 + comeBackWhenFull.count(), comeBackAfter(request, now).count());
+    LONGS_EQUAL(2900 + comeBackWhenFull.count(), retryDelayAfterRefusal(request, now).count());
 }
 
 TEST(AttemptAdmission, RefusesAStreamAtOnceThatNoEngineCanTakeInItsTime)
@@ -80,7 +80,7 @@
     const Milliseconds waitsUntil { 900 };
     const Milliseconds interval { 40 };
     const auto decide = [&](Milliseconds opensAt, unsigned possibleRuns) {
-        return waitOrRefuseStream(EndpointOpening { opensAt, false }, possibleRuns, waitsUntil, interval, now);
+        return waitOrRefuseStream(EndpointAvailability { opensAt, false }, possibleRuns, waitsUntil, interval, now);
     };
     CHECK(decide(Milliseconds { 800 }, 0).waits);
     const auto refused = decide(Milliseconds { 901 }, 0);
--- a/test/CrashingRequestTest.cpp
+++ b/test/CrashingRequestTest.cpp
@@ -26,7 +26,7 @@
     {
         relay = std::make_unique<RelayHarness>();
         // No second sending of a call that is only slow.
-        relay->settings.shortestHedgeDelay = relay->settings.longestHedgeDelay = Milliseconds { 100000 };
+        relay->settings.minHedgeDelay = relay->settings.maxHedgeDelay = Milliseconds { 100000 };
         relay->addRoute("stream", RequestKind::EventStream, 5);
         relay->addRoute("again", RequestKind::Idempotent, 2);
         relay->addRoute("once", RequestKind::NonIdempotent, 1);
--- a/test/DaemonTest.cpp
+++ b/test/DaemonTest.cpp
@@ -256,7 +256,7 @@
 
 TEST(Daemon, RefusesMoreGenerationsThanItMayHold)
 {
-    cluster.settings.generation.maxHeld = 1;
+    cluster.settings.generation.maxGenerations = 1;
     cluster.start();
     cluster.post("/v1/completions", wholeBody, { { "Idempotency-Key", "k" } });
     const auto result = cluster.post("/v1/completions", wholeBody);
--- a/test/EndpointDirectoryTest.cpp
+++ b/test/EndpointDirectoryTest.cpp
@@ -159,12 +159,12 @@
     directory->noteFailure(*endpoints[0], now);
     directory->noteFailure(*endpoints[1], now);
     now += settings.avoidZone + Milliseconds { 1 };
-    endpoints[3]->noteLife(now);
+    endpoints[3]->noteAlive(now);
     directory->upsert(entry("e5", 5), now);
     CHECK(directory->isDoubtful(*endpoints[2], now));
     CHECK_FALSE_TEXT(directory->isDoubtful(*endpoints[3], now), "one that has answered since lives");
     CHECK_FALSE_TEXT(directory->isDoubtful(*directory->find("e5"), now), "one that was listed since lives");
-    now += settings.doubtAfterZoneFailure;
+    now += settings.suspectAfterZoneFailure;
     CHECK_FALSE(directory->isDoubtful(*endpoints[2], now));
 }
 
@@ -215,12 +215,12 @@
 TEST(EndpointDirectory, ALaterStartUnderTheSameIdIsAnotherEndpoint)
 {
     auto first = entry("e1", 1);
-    first.born = 100;
+    first.startTime = 100;
     directory->upsert(first, now);
     const auto earlier = directory->find("e1");
     earlier->avoidUntil(now + Milliseconds { 5000 });
     auto second = first;
-    second.born = 200;
+    second.startTime = 200;
     directory->upsert(second, now);
     const auto later = directory->find("e1");
     CHECK_TEXT(later != earlier, "what was believed of the earlier start is not believed of this one");
@@ -234,11 +234,11 @@
 TEST(EndpointDirectory, NewsOfAnEarlierStartThatComesLateChangesNothing)
 {
     auto second = entry("e1", 1);
-    second.born = 200;
+    second.startTime = 200;
     directory->upsert(second, now);
     const auto present = directory->find("e1");
     auto first = entry("e1", 9);
-    first.born = 100;
+    first.startTime = 100;
     first.isDraining = true;
     directory->upsert(first, now);
     CHECK(directory->find("e1") == present);
@@ -249,12 +249,12 @@
 TEST(EndpointDirectory, AnEntryThatDoesNotSayWhenItStartedIsOfTheSameStart)
 {
     auto first = entry("e1", 1);
-    first.born = 100;
+    first.startTime = 100;
     directory->upsert(first, now);
     const auto present = directory->find("e1");
     directory->upsert(entry("e1", 1), now);
     CHECK(directory->find("e1") == present);
-    LONGS_EQUAL_TEXT(100, present->entry().born, "it is still known which start that is");
+    LONGS_EQUAL_TEXT(100, present->entry().startTime, "it is still known which start that is");
 }
 
 // Another writer's entry names a service of its own and an endpoint's address.
--- a/test/EndpointLimitTest.cpp
+++ b/test/EndpointLimitTest.cpp
@@ -56,7 +56,7 @@
     {
         relay = std::make_unique<RelayHarness>();
         // No second sending of a call that is only slow.
-        relay->settings.shortestHedgeDelay = relay->settings.longestHedgeDelay = Milliseconds { 100000 };
+        relay->settings.minHedgeDelay = relay->settings.maxHedgeDelay = Milliseconds { 100000 };
         relay->addRoute("once", RequestKind::NonIdempotent, 2);
         relay->addRoute("stream", RequestKind::EventStream, 5);
     }
--- a/test/EndpointLossesTest.cpp
+++ b/test/EndpointLossesTest.cpp
@@ -15,7 +15,7 @@
     }
 
     // Six engines in each of four zones.
-    static constexpr OtherEndpoints manyOthers { 5, 23 };
+    static constexpr OtherEndpointCounts manyOthers { 5, 23 };
 };
 
 TEST(EndpointLosses, AZonesEndpointsThatGoTogetherExplainEachOther)
@@ -23,8 +23,8 @@
     losses.note(loss("a1", "a", 1000), Milliseconds { 0 });
     losses.note(loss("a2", "a", 1300), Milliseconds { 0 });
     losses.note(loss("a3", "a", 1450), Milliseconds { 0 });
-    CHECK(losses.wentWithOthers(loss("a1", "a", 1000), manyOthers));
-    CHECK(losses.wentWithOthers(loss("a3", "a", 1450), manyOthers));
+    CHECK(losses.isCorrelatedLoss(loss("a1", "a", 1000), manyOthers));
+    CHECK(losses.isCorrelatedLoss(loss("a3", "a", 1450), manyOthers));
 }
 
 TEST(EndpointLosses, OneOtherMayGoByChance)
@@ -32,14 +32,14 @@
     losses.note(loss("a1", "a", 1000), Milliseconds { 0 });
     losses.note(loss("a2", "a", 1100), Milliseconds { 0 });
     losses.note(loss("b1", "b", 1100), Milliseconds { 0 });
-    CHECK_FALSE(losses.wentWithOthers(loss("a1", "a", 1000), manyOthers));
+    CHECK_FALSE(losses.isCorrelatedLoss(loss("a1", "a", 1000), manyOthers));
 }
 
 TEST(EndpointLosses, TheOnlyOtherOfAZoneIsAllOfIt)
 {
     losses.note(loss("a1", "a", 1000), Milliseconds { 0 });
     losses.note(loss("a2", "a", 1100), Milliseconds { 0 });
-    CHECK(losses.wentWithOthers(loss("a1", "a", 1000), { 1, 23 }));
+    CHECK(losses.isCorrelatedLoss(loss("a1", "a", 1000), { 1, 23 }));
 }
 
 TEST(EndpointLosses, HalfOfAServiceIsMoreThanChance)
@@ -47,8 +47,8 @@
     losses.note(loss("a1", "a", 1000), Milliseconds { 0 });
     losses.note(loss("b1", "b", 1100), Milliseconds { 0 });
     losses.note(loss("c1", "c", 1100), Milliseconds { 0 });
-    CHECK(losses.wentWithOthers(loss("a1", "a", 1000), { 0, 3 }));
-    CHECK_FALSE(losses.wentWithOthers(loss("a1", "a", 1000), { 0, 5 }));
+    CHECK(losses.isCorrelatedLoss(loss("a1", "a", 1000), { 0, 3 }));
+    CHECK_FALSE(losses.isCorrelatedLoss(loss("a1", "a", 1000), { 0, 5 }));
 }
 
 TEST(EndpointLosses, WhatOneRequestLosesInARowIsNoZone)
@@ -59,8 +59,8 @@
         // Another one that was there, each time a different one.
         losses.note(loss(id, "a", 1000 + 60 * i), Milliseconds { 0 });
     }
-    CHECK_FALSE(losses.wentWithOthers(loss("a0", "a", 1000, "d"), manyOthers));
-    CHECK_TEXT(losses.wentWithOthers(loss("a0", "a", 1000), manyOthers), "those that were there lost it with others");
+    CHECK_FALSE(losses.isCorrelatedLoss(loss("a0", "a", 1000, "d"), manyOthers));
+    CHECK_TEXT(losses.isCorrelatedLoss(loss("a0", "a", 1000), manyOthers), "those that were there lost it with others");
 }
 
 TEST(EndpointLosses, OthersOfAnotherMomentOrServiceExplainNothing)
@@ -70,7 +70,7 @@
     losses.note({ "t2", "t", "a", "d", Milliseconds { 1000 } }, Milliseconds { 0 });
     losses.note(loss("a2", "a", 1501), Milliseconds { 0 });
     losses.note(loss("a3", "a", 1501), Milliseconds { 0 });
-    CHECK_FALSE(losses.wentWithOthers(loss("a1", "a", 1000), manyOthers));
+    CHECK_FALSE(losses.isCorrelatedLoss(loss("a1", "a", 1000), manyOthers));
 }
 
 TEST(EndpointLosses, WhatIsSentToAnEndpointThatWasLostBeforeHasNotEndedIt)
--- a/test/EndpointRestTest.cpp
+++ b/test/EndpointRestTest.cpp
@@ -191,7 +191,7 @@
 
 TEST(EndpointRest, SparesTheEngineQuestionsAfterItsLoad)
 {
-    relay->useEngines();
+    relay->useEngineService();
     auto& resting = relay->addEndpoint("e1");
     resting.onRequest(rejectsWith("Retry-After: 2\r\n"));
     for (const auto* id : { "e2", "e3" })
@@ -218,13 +218,13 @@
     ready();
     callAndWait("/once/1");
     const auto known = relay->daemon().directory().find("e1");
-    CHECK_FALSE(known->isResting(relay->daemon().clock().now()));
+    CHECK_FALSE(known->isInBackOff(relay->daemon().clock().now()));
     CHECK_FALSE(known->isLeaving());
 }
 
 TEST(EndpointRest, GetsNoHedgedCall)
 {
-    relay->settings.shortestHedgeDelay = relay->settings.longestHedgeDelay = Milliseconds { 20 };
+    relay->settings.minHedgeDelay = relay->settings.maxHedgeDelay = Milliseconds { 20 };
     auto& resting = relay->addEndpoint("e1");
     resting.onRequest(rejectsWith("Retry-After: 5\r\n"));
     auto& slow = relay->addEndpoint("e2");
--- a/test/EndpointSignalsTest.cpp
+++ b/test/EndpointSignalsTest.cpp
@@ -15,7 +15,7 @@
 
 TEST(EndpointSignals, AcceptsAgainAtTheEndOfItsRest)
 {
-    CHECK(signals.noteRest(Milliseconds { 800 }, now));
+    CHECK(signals.noteBackOff(Milliseconds { 800 }, now));
     CHECK_FALSE(signals.accepts(now + Milliseconds { 799 }));
     CHECK(signals.accepts(now + Milliseconds { 800 }));
 }
@@ -23,15 +23,15 @@
 // Answers to requests that were under way together may ask for rests of different length.
 TEST(EndpointSignals, KeepsTheLongestOfOverlappingRests)
 {
-    CHECK(signals.noteRest(Milliseconds { 3000 }, now));
-    CHECK_FALSE(signals.noteRest(Milliseconds { 1000 }, now + Milliseconds { 10 }));
-    LONGS_EQUAL((now + Milliseconds { 3000 }).count(), signals.restsUntil().count());
-    CHECK(signals.noteRest(Milliseconds { 3000 }, now + Milliseconds { 20 }));
+    CHECK(signals.noteBackOff(Milliseconds { 3000 }, now));
+    CHECK_FALSE(signals.noteBackOff(Milliseconds { 1000 }, now + Milliseconds { 10 }));
+    LONGS_EQUAL((now + Milliseconds { 3000 }).count(), signals.backOffUntil().count());
+    CHECK(signals.noteBackOff(Milliseconds { 3000 }, now + Milliseconds { 20 }));
 }
 
 TEST(EndpointSignals, TakesNoRestFromATimeOfZero)
 {
-    CHECK_FALSE(signals.noteRest(Milliseconds { 0 }, now));
+    CHECK_FALSE(signals.noteBackOff(Milliseconds { 0 }, now));
     CHECK(signals.accepts(now));
 }
 
@@ -45,8 +45,8 @@
 TEST(EndpointSignals, KeepsWhatWasKnownOfTheSameStart)
 {
     EndpointSignals earlier;
-    earlier.noteRest(Milliseconds { 500 }, now);
+    earlier.noteBackOff(Milliseconds { 500 }, now);
     earlier.noteLeaving();
     signals.merge(earlier);
-    CHECK(signals.isLeaving() && signals.isResting(now));
+    CHECK(signals.isLeaving() && signals.isInBackOff(now));
 }
--- a/test/EngineForecastTest.cpp
+++ b/test/EngineForecastTest.cpp
@@ -24,8 +24,8 @@
 
 TEST(EngineForecast, PromptsThatAreReadOrWaitDelayTheRequest)
 {
-    LONGS_EQUAL_TEXT(1500, delay({ .promptsBeingRead = 1 }), "a prompt that is being read is half read");
-    LONGS_EQUAL(3500, delay({ .promptsBeingRead = 1, .promptsWaiting = 2 }));
+    LONGS_EQUAL_TEXT(1500, delay({ .promptsInPrefill = 1 }), "a prompt that is being read is half read");
+    LONGS_EQUAL(3500, delay({ .promptsInPrefill = 1, .promptsWaiting = 2 }));
 }
 
 TEST(EngineForecast, RunsBesideThePromptCountBecauseTheyAreSlowed)
@@ -36,13 +36,13 @@
 TEST(EngineForecast, OwnPromptsThatTheReportDoesNotKnowYetCountOnce)
 {
     LONGS_EQUAL(2000, delay({}, 1));
-    LONGS_EQUAL_TEXT(1500, delay({ .promptsBeingRead = 1 }, 1), "the report knows of this one");
+    LONGS_EQUAL_TEXT(1500, delay({ .promptsInPrefill = 1 }, 1), "the report knows of this one");
 }
 
 TEST(EngineForecast, AnEngineWithoutRoomComesBehindAnyOther)
 {
     const EngineReport full { .memoryUsed = 50000, .memoryTotal = 55000 };
-    const EngineReport busy { .promptsBeingRead = 1, .promptsWaiting = 9, .generating = 3, .memoryTotal = 55000 };
+    const EngineReport busy { .promptsInPrefill = 1, .promptsWaiting = 9, .generating = 3, .memoryTotal = 55000 };
     CHECK(delay(full) > delay(busy));
 }
 
--- a/test/EngineSurveyTest.cpp
+++ b/test/EngineSurveyTest.cpp
@@ -1,6 +1,6 @@
-#include "relay/EngineSurvey.h"
 #include "PlatformCallProtocol.h"
 #include "RelayHarness.h"
+#include "relay/EngineLoadProbe.h"
 #include "relay/Placement.h"
 #include "relay/RelayContext.h"
 #include "relay/RelayMetrics.h"
@@ -12,16 +12,16 @@
 using namespace lupinknot;
 using namespace lupinknot::internal;
 
-TEST_GROUP(EngineSurvey)
+TEST_GROUP(EngineLoadProbe)
 {
     std::unique_ptr<RelayHarness> relay;
 
     void setup() override
     {
         relay = std::make_unique<RelayHarness>();
-        relay->settings.surveyTimeout = Milliseconds { 2000 };
-        relay->settings.surveyShortestWait = Milliseconds { 20 };
-        relay->useEngines();
+        relay->settings.loadProbeTimeout = Milliseconds { 2000 };
+        relay->settings.minLoadProbeWait = Milliseconds { 20 };
+        relay->useEngineService();
         relay->addRoute("stream", RequestKind::EventStream, 5);
     }
 
@@ -69,7 +69,7 @@
     }
 };
 
-TEST(EngineSurvey, ThePromptGoesToTheEngineThatDelaysStreamsLeast)
+TEST(EngineLoadProbe, ThePromptGoesToTheEngineThatDelaysStreamsLeast)
 {
     addEngine("e1", load(3, 0));
     auto& idle = addEngine("e2", load(0, 0));
@@ -78,7 +78,7 @@
     CHECK(hasServed(idle));
 }
 
-TEST(EngineSurvey, AnEngineThatIsSilentIsNeitherWaitedForNorChosen)
+TEST(EngineLoadProbe, AnEngineThatIsSilentIsNeitherWaitedForNorChosen)
 {
     auto& silent = relay->addEndpoint("e1");
     addEngine("e2", load(2, 2));
@@ -87,7 +87,7 @@
     CHECK_FALSE(hasServed(silent));
 }
 
-TEST(EngineSurvey, AnEngineWhoseLoadCannotBeReadIsPassedOver)
+TEST(EngineLoadProbe, AnEngineWhoseLoadCannotBeReadIsPassedOver)
 {
     auto& lying = addEngine("e1", R"({"waiting":-5,"running":0,"runs":[]})");
     auto& honest = addEngine("e2", load(4, 4));
@@ -96,7 +96,7 @@
     CHECK(hasServed(honest));
 }
 
-TEST(EngineSurvey, WithoutAnyReportTheChoiceIsByOwnKnowledge)
+TEST(EngineLoadProbe, WithoutAnyReportTheChoiceIsByOwnKnowledge)
 {
     auto& first = addEngine("e1", "nonsense");
     auto& second = addEngine("e2", "nonsense");
@@ -104,7 +104,7 @@
     CHECK(hasServed(first) || hasServed(second));
 }
 
-TEST(EngineSurvey, OneEngineAloneIsNotAsked)
+TEST(EngineLoadProbe, OneEngineAloneIsNotAsked)
 {
     auto& engine = addEngine("e1", load(0, 0));
     callOnce();
@@ -112,7 +112,7 @@
 }
 
 // The engine that ran the request before has read its prompt.
-TEST(EngineSurvey, ACallerWhoComesBackIsServedWithoutAQuestion)
+TEST(EngineLoadProbe, ACallerWhoComesBackIsServedWithoutAQuestion)
 {
     auto& first = addEngine("e1", load(0, 0));
     auto& second = addEngine("e2", load(0, 0));
--- a/test/EventStreamCallTest.cpp
+++ b/test/EventStreamCallTest.cpp
@@ -80,8 +80,8 @@
     await(caller);
     STRCMP_EQUAL(events(1, 4).c_str(), caller->body.c_str());
     STRCMP_EQUAL_TEXT("s", caller->header("X-Response-Signature").c_str(), "the head is that of the first run");
-    CHECK(holder.hasAsked(0, "Last-Event-Id: 2\r\n"));
-    CHECK(holder.hasAsked(0, "/r1\r\n"));
+    CHECK(holder.hasReceived(0, "Last-Event-Id: 2\r\n"));
+    CHECK(holder.hasReceived(0, "/r1\r\n"));
 }
 
 // Found by trouble-3 of the shifted site: while the list was silent the copy's engine had started again, the copy went
@@ -104,8 +104,8 @@
     engine.connections().front()->reset();
     await(caller);
     STRCMP_EQUAL(events(1, 4).c_str(), caller->body.c_str());
-    CHECK_TEXT(holder.hasAsked(0, "X-Expect-Instance: e9\r\n"), "the engine goes by its present id");
-    CHECK(holder.hasAsked(0, "/r1\r\n"));
+    CHECK_TEXT(holder.hasReceived(0, "X-Expect-Instance: e9\r\n"), "the engine goes by its present id");
+    CHECK(holder.hasReceived(0, "/r1\r\n"));
 }
 
 TEST(EventStreamCall, BeginsAnewElsewhereWhenTheCopyIsNotThere)
@@ -182,7 +182,7 @@
     const auto caller = relay->call("/stream/1", { { "Last-Event-Id", "7" } });
     await(caller);
     STRCMP_EQUAL(events(8, 9).c_str(), caller->body.c_str());
-    CHECK(engine.hasAsked(0, "Last-Event-Id: 7\r\n"));
+    CHECK(engine.hasReceived(0, "Last-Event-Id: 7\r\n"));
 }
 
 TEST(EventStreamCall, BreaksOffVisiblyWhenNoEngineCanGoOn)
@@ -237,7 +237,7 @@
 
 TEST(EventStreamCall, MovesARunWhoseCopyHasDied)
 {
-    relay->settings.relocateUnlessDoneWithin = Milliseconds { 0 };
+    relay->settings.minTimeLeftForRelocation = Milliseconds { 0 };
     relay->settings.probeAfterSilenceInDoubt = Milliseconds { 5 };
     relay->settings.retrySlackShare = 1;
     relay->settings.relocationSpread = Milliseconds { 1 };
@@ -269,13 +269,13 @@
     await(caller);
     STRCMP_EQUAL(events(1, 3).c_str(), caller->body.c_str());
     LONGS_EQUAL_TEXT(2, moves.size(), "a first copy while the run goes on, and the rest once it has stopped");
-    CHECK(second.hasAsked(0, "/h7\r\n") || third.hasAsked(0, "/h7\r\n"));
+    CHECK(second.hasReceived(0, "/h7\r\n") || third.hasReceived(0, "/h7\r\n"));
 }
 
 // An answer without a length ends with its connection, and so does a run that is stopped to be moved.
 TEST(EventStreamCall, TakesTheEndOfAStoppedRunForNoEndOfItsAnswer)
 {
-    relay->settings.relocateUnlessDoneWithin = Milliseconds { 0 };
+    relay->settings.minTimeLeftForRelocation = Milliseconds { 0 };
     relay->settings.probeAfterSilenceInDoubt = Milliseconds { 5 };
     relay->settings.retrySlackShare = 1;
     relay->settings.relocationSpread = Milliseconds { 1 };
--- a/test/FakeAttemptHost.h
+++ b/test/FakeAttemptHost.h
@@ -21,7 +21,7 @@
             = [&avoid](const EndpointName& name) { return std::find(avoid.begin(), avoid.end(), name) == avoid.end(); };
         const auto found = std::find_if(available.begin(), available.end(), isFree);
         return EndpointChoice { found == available.end() ? available.front() : *found,
-            std::make_shared<EndpointPulse>(pulseSettings) };
+            std::make_shared<EndpointLiveness>(livenessSettings) };
     }
 
     void startAttempt(const AttemptOrder& order) override { orders.push_back(order); }
@@ -35,7 +35,7 @@
         return failure ? std::string(traitsOf(*failure).name) : "none";
     }
 
-    PulseSettings pulseSettings;
+    LivenessSettings livenessSettings;
     std::vector<EndpointName> available;
     std::vector<AttemptOrder> orders;
     std::vector<AttemptNumber> cancelled;
--- a/test/GenerationDriverTest.cpp
+++ b/test/GenerationDriverTest.cpp
@@ -120,9 +120,9 @@
     auto driver = makeDriver();
     driver.start(at(0));
     giveTokens(driver, 1, 0, 1, 10);
-    driver.tick(at(10) + host.pulseSettings.bounds.ceiling - at(1));
+    driver.tick(at(10) + host.livenessSettings.bounds.ceiling - at(1));
     LONGS_EQUAL(1, host.orders.size());
-    driver.tick(at(10) + host.pulseSettings.bounds.ceiling);
+    driver.tick(at(10) + host.livenessSettings.bounds.ceiling);
     LONGS_EQUAL(2, host.orders.size());
     STRCMP_EQUAL("silent", host.lastFailure().c_str());
 }
@@ -132,7 +132,7 @@
     auto driver = makeDriver();
     driver.start(at(0));
     giveTokens(driver, 1, 0, 1, 10);
-    CHECK(driver.nextTick() == at(10) + host.pulseSettings.bounds.ceiling);
+    CHECK(driver.nextTick() == at(10) + host.livenessSettings.bounds.ceiling);
 }
 
 TEST(GenerationDriver, WaitsForAnEndpointAndTakesItWhenItIsBack)
@@ -248,7 +248,7 @@
     driver.start(at(0));
     giveTokens(driver, 1, 0, 2, 10);
     driver.abandon();
-    driver.revive(at(500), at(100000));
+    driver.resumeAbandoned(at(500), at(100000));
     CHECK_FALSE(driver.error());
     LONGS_EQUAL(2, host.orders.back().position);
 }
@@ -258,7 +258,7 @@
     auto driver = makeDriver(false);
     driver.start(at(0));
     driver.abandon();
-    driver.revive(at(500), at(100000));
+    driver.resumeAbandoned(at(500), at(100000));
     LONGS_EQUAL(1, host.orders.size());
     STRCMP_EQUAL("unknown", outcomeName(driver).c_str());
 }
--- a/test/HttpServerTest.cpp
+++ b/test/HttpServerTest.cpp
@@ -199,7 +199,7 @@
     HeldServer server;
     RawConnection peer(server.port());
     peer.send(request);
-    server.exchange(0)->onGone([&server] { server.noteGone(); });
+    server.exchange(0)->onPeerDisconnected([&server] { server.noteGone(); });
     peer.close();
     server.waitForGone();
 }
@@ -210,7 +210,7 @@
     RawConnection peer(server.port());
     peer.send(request);
     const auto exchange = server.exchange(0);
-    exchange->onGone([&server] { server.noteGone(); });
+    exchange->onPeerDisconnected([&server] { server.noteGone(); });
     exchange->stream({ 200, {}, {} }, std::make_shared<EndlessSource>());
     peer.readUntil("xxx");
     peer.close();
@@ -226,7 +226,7 @@
     peer.send(request);
     const auto source = std::make_shared<EndlessSource>();
     const auto exchange = server.exchange(0);
-    exchange->onGone([&server] { server.noteGone(); });
+    exchange->onPeerDisconnected([&server] { server.noteGone(); });
     exchange->stream({ 200, {}, {} }, source);
     server.waitForGone();
     CHECK_TEXT(source->produced < moreThanSocketBuffers,
--- a/test/InterleavingTest.cpp
+++ b/test/InterleavingTest.cpp
@@ -42,7 +42,7 @@
 
     std::optional<EndpointChoice> chooseEndpoint(const std::vector<EndpointName>&) override
     {
-        return EndpointChoice { "e", std::make_shared<EndpointPulse>(PulseSettings {}) };
+        return EndpointChoice { "e", std::make_shared<EndpointLiveness>(LivenessSettings {}) };
     }
 
     void startAttempt(const AttemptOrder& order) override
--- a/test/KeeperChoiceTest.cpp
+++ b/test/KeeperChoiceTest.cpp
@@ -1,4 +1,4 @@
-#include "relay/KeeperChoice.h"
+#include "relay/LocationKeeperChoice.h"
 
 #include <algorithm>
 #include <set>
@@ -7,7 +7,7 @@
 
 using namespace lupinknot::internal;
 
-TEST_GROUP(KeeperChoice) { static std::vector<std::string> fleet(int size) { std::vector<std::string> names;
+TEST_GROUP(LocationKeeperChoice) { static std::vector<std::string> fleet(int size) { std::vector<std::string> names;
 names.reserve(static_cast<std::size_t>(size));
 for (int i = 0; i < size; ++i)
     names.push_back("10.0.0." + std::to_string(i) + ":7200");
@@ -17,14 +17,14 @@
 static std::set<std::string> keepers(const std::string& promptId, const std::vector<std::string>& names)
 {
     std::set<std::string> chosen;
-    for (const auto number : chooseKeepers(promptId, names))
+    for (const auto number : chooseLocationKeepers(promptId, names))
         chosen.insert(names[number]);
     return chosen;
 }
 }
 ;
 
-TEST(KeeperChoice, EveryVmFindsTheSameKeepersWhateverTheOrderOfItsList)
+TEST(LocationKeeperChoice, EveryVmFindsTheSameKeepersWhateverTheOrderOfItsList)
 {
     const auto names = fleet(6);
     auto turned = names;
@@ -33,7 +33,7 @@
         CHECK(keepers(std::to_string(i), names) == keepers(std::to_string(i), turned));
 }
 
-TEST(KeeperChoice, OneOfTheKeepersIsTheSameAfterAVmHasGone)
+TEST(LocationKeeperChoice, OneOfTheKeepersIsTheSameAfterAVmHasGone)
 {
     const auto names = fleet(6);
     auto fewer = names;
@@ -42,11 +42,11 @@
         std::size_t shared = 0;
         for (const auto& name : keepers(std::to_string(i), fewer))
             shared += keepers(std::to_string(i), names).count(name);
-        CHECK_TEXT(shared >= keepersOfALocation - 1, "the loss of one VM moves one keeper at most");
+        CHECK_TEXT(shared >= keepersPerLocation - 1, "the loss of one VM moves one keeper at most");
     }
 }
 
-TEST(KeeperChoice, PromptsSpreadOverTheVms)
+TEST(LocationKeeperChoice, PromptsSpreadOverTheVms)
 {
     std::set<std::string> used;
     for (int i = 0; i < 100; ++i)
@@ -54,16 +54,16 @@
     LONGS_EQUAL(6, used.size());
 }
 
-TEST(KeeperChoice, AVmTalksToFewOthersHoweverManyThereAre)
+TEST(LocationKeeperChoice, AVmTalksToFewOthersHoweverManyThereAre)
 {
     std::set<std::string> used;
     for (int i = 0; i < 1000; ++i)
         used.merge(keepers(std::to_string(i), fleet(300)));
-    LONGS_EQUAL(mostKeepers, used.size());
+    LONGS_EQUAL(maxLocationKeepers, used.size());
 }
 
-TEST(KeeperChoice, TakesAllVmsWhenThereAreFewerThanKeepers)
+TEST(LocationKeeperChoice, TakesAllVmsWhenThereAreFewerThanKeepers)
 {
-    LONGS_EQUAL(1, chooseKeepers("p", fleet(1)).size());
-    LONGS_EQUAL(0, chooseKeepers("p", {}).size());
+    LONGS_EQUAL(1, chooseLocationKeepers("p", fleet(1)).size());
+    LONGS_EQUAL(0, chooseLocationKeepers("p", {}).size());
 }
--- a/test/LimitKeeperTest.cpp
+++ b/test/LimitKeeperTest.cpp
@@ -7,14 +7,14 @@
 using namespace lupinknot;
 using namespace lupinknot::internal;
 
-TEST_GROUP(HeardLimit)
+TEST_GROUP(KnownLimit)
 {
-    HeardLimit limit;
+    KnownLimit limit;
 
     static void check(LimitChange wanted, LimitChange change) { CHECK(wanted == change); }
 };
 
-TEST(HeardLimit, IsNamedChangedAndEndedByWhatAnswersSay)
+TEST(KnownLimit, IsNamedChangedAndEndedByWhatAnswersSay)
 {
     check(LimitChange::None, limit.noteAnswer(std::nullopt, Milliseconds { 1 }, Milliseconds { 2 }));
     check(LimitChange::Named, limit.noteAnswer(1.0, Milliseconds { 3 }, Milliseconds { 4 }));
@@ -25,18 +25,18 @@
 }
 
 // The answer may have been made before the endpoint was in need.
-TEST(HeardLimit, IsNotEndedByAnAnswerToARequestThatWasSentBeforeItWasHeard)
+TEST(KnownLimit, IsNotEndedByAnAnswerToARequestThatWasSentBeforeItWasHeard)
 {
     limit.noteAnswer(1.0, Milliseconds { 1 }, Milliseconds { 10 });
     check(LimitChange::None, limit.noteAnswer(std::nullopt, Milliseconds { 9 }, Milliseconds { 12 }));
     CHECK(limit.perSecond().has_value());
 }
 
-TEST(HeardLimit, TakesFromOtherVmsOnlyWhatIsNewer)
+TEST(KnownLimit, TakesFromOtherVmsOnlyWhatIsNewer)
 {
     limit.noteAnswer(1.0, Milliseconds { 1 }, Milliseconds { 10 });
-    check(LimitChange::None, limit.noteNews(std::nullopt, Milliseconds { 10 }));
-    check(LimitChange::Ended, limit.noteNews(std::nullopt, Milliseconds { 11 }));
+    check(LimitChange::None, limit.notePeerReport(std::nullopt, Milliseconds { 10 }));
+    check(LimitChange::Ended, limit.notePeerReport(std::nullopt, Milliseconds { 11 }));
 }
 
 TEST_GROUP(LimitKeeper)
@@ -53,7 +53,7 @@
 
     PermitAnswer ask(double perSecond, Milliseconds patience = Milliseconds { 0 })
     {
-        return keeper.ask({ "e1", { perSecond, Milliseconds { 0 } }, patience }, LimitKeeper::wholeShare, now);
+        return keeper.ask({ "e1", { perSecond, Milliseconds { 0 } }, patience }, LimitKeeper::primaryShare, now);
     }
 
     // Asks each so many milliseconds for a minute; the most that were granted within any four seconds.
@@ -126,12 +126,12 @@
     ask(1);
     CHECK_FALSE(ask(1).isGranted);
     now += Milliseconds { 10 };
-    keeper.tell("e1", { std::nullopt, Milliseconds { 0 } }, now);
+    keeper.reportLimit("e1", { std::nullopt, Milliseconds { 0 } }, now);
     // A VM that has not heard it yet asks with what it knew.
     const auto answer
-        = keeper.ask({ "e1", { 1.0, Milliseconds { 500 } }, Milliseconds { 0 } }, LimitKeeper::wholeShare, now);
+        = keeper.ask({ "e1", { 1.0, Milliseconds { 500 } }, Milliseconds { 0 } }, LimitKeeper::primaryShare, now);
     CHECK(answer.isGranted);
-    CHECK_FALSE(answer.news.perSecond.has_value());
+    CHECK_FALSE(answer.report.perSecond.has_value());
 }
 
 TEST(LimitKeeper, AsksAnEndpointThatTakesNothingNowAndThen)
@@ -143,7 +143,7 @@
 TEST(LimitKeeper, ForgetsEndpointsThatNobodyAsksFor)
 {
     for (int i = 0; i < 100; ++i)
-        keeper.tell("gone" + std::to_string(i), { 1.0, Milliseconds { 0 } }, now);
+        keeper.reportLimit("gone" + std::to_string(i), { 1.0, Milliseconds { 0 } }, now);
     now += Milliseconds { 61000 };
     ask(1);
     LONGS_EQUAL(1, keeper.size());
--- a/test/PeerPermitsTest.cpp
+++ b/test/PeerPermitsTest.cpp
@@ -23,8 +23,8 @@
         CHECK_FALSE(feeds->start().has_value());
         entry = { name, "a", { "127.0.0.1", feeds->port() } };
         permits = std::make_unique<PeerPermits>(ioContext, clock, entry);
-        feeds->exchange(PeerPermits::askPath, [this](const std::string& body) { return permits->answer(body); });
-        feeds->take(PeerPermits::tellPath, [this](const std::string& body) { return permits->take(body); });
+        feeds->exchange(PeerPermits::requestPath, [this](const std::string& body) { return permits->answer(body); });
+        feeds->take(PeerPermits::reportPath, [this](const std::string& body) { return permits->take(body); });
     }
 
     VmRegistry registry;
@@ -145,7 +145,7 @@
     // An answer without a limit comes some time after the last one with it.
     const auto later = clock.now() + Milliseconds { 5 };
     CHECK(runUntil(*ioContext, [&] { return clock.now() > later; }));
-    vms[2]->permits->tell("e1", { std::nullopt, Milliseconds { 0 } });
+    vms[2]->permits->reportLimit("e1", { std::nullopt, Milliseconds { 0 } });
     std::optional<PermitAnswer> got;
     CHECK(runUntil(*ioContext, [&] {
         if (!got || !got->isGranted) {
@@ -155,7 +155,7 @@
         }
         return true;
     }));
-    CHECK_FALSE(got->news.perSecond.has_value());
+    CHECK_FALSE(got->report.perSecond.has_value());
 }
 
 TEST(PeerPermits, AnswersNoQuestionThatCannotBeRead)
--- a/test/PeerRolloutsTest.cpp
+++ b/test/PeerRolloutsTest.cpp
@@ -70,8 +70,8 @@
     void restoreStore()
     {
         store->restoreCopy();
-        era->hearFromVm(0);
-        era->hearFromVm(1);
+        era->noteEraFromVm(0);
+        era->noteEraFromVm(1);
         rollouts->storeRestored();
     }
 
@@ -97,7 +97,7 @@
 {
     advanceStore();
     begin();
-    const auto told = rollouts->takeAccount(account(20, 12));
+    const auto told = rollouts->takeReport(account(20, 12));
     CHECK(told && told->find("stop") != std::string::npos);
     CHECK(runUntil([&] { return rollout().decision() == RolloutDecision::RolledBack; }));
     CHECK_TEXT(rollout().isStopped(), "its own requests stop as well");
@@ -107,7 +107,7 @@
 {
     advanceStore();
     begin();
-    rollouts->takeAccount(account(90, 1));
+    rollouts->takeReport(account(90, 1));
     CHECK(runUntil([&] { return status().find("completed") != std::string::npos; }));
     CHECK(runUntil([&] { return rollout().decision() == RolloutDecision::Completed; }));
 }
@@ -117,7 +117,7 @@
     advanceStore();
     store->put("status", "rollout/s", R"({"state":"completed","target-version":"v2"})");
     begin();
-    rollouts->takeAccount(account(20, 12));
+    rollouts->takeReport(account(20, 12));
     CHECK(runUntil([&] { return rollout().decision() != RolloutDecision::Undecided; }));
     CHECK_TEXT(rollout().decision() == RolloutDecision::Completed, "a decision that is written never turns");
 }
@@ -140,8 +140,8 @@
     begin();
     for (const auto* text : { "", "7", "{}", R"({"service":"s","revision":3,"process":1,"routes":{}})",
              R"({"service":"s","revision":3,"process":"p","routes":{"r":{"present":[1],"candidate":[1,1]}}})" })
-        CHECK_FALSE(rollouts->takeAccount(text).has_value());
-    CHECK_FALSE_TEXT(rollouts->takeAccount(account(1, 1, 99)).has_value(), "an account of another order");
+        CHECK_FALSE(rollouts->takeReport(text).has_value());
+    CHECK_FALSE_TEXT(rollouts->takeReport(account(1, 1, 99)).has_value(), "an account of another order");
 }
 
 TEST(PeerRollouts, AnOrderThatIsGoneTellsVersionsApartNoMore)
@@ -158,7 +158,7 @@
     advanceStore();
     store->keepCopy();
     begin();
-    rollouts->takeAccount(account(20, 12));
+    rollouts->takeReport(account(20, 12));
     CHECK(runUntil([&] { return rollout().decision() == RolloutDecision::RolledBack; }));
     restoreStore();
     rollouts->takeTable({});
@@ -174,7 +174,7 @@
     advanceStore();
     store->keepCopy();
     begin();
-    rollout().hear(GathererWord::Stop, daemon->clock().now());
+    rollout().applyDirective(RolloutDirective::Stop, daemon->clock().now());
     restoreStore();
     rollouts->takeTable({ { "rollout/s", orderText, false, 2, 1 } });
     rollouts->takeRow({ "rollout/s", orderText, false, 5, 1 });
@@ -212,7 +212,7 @@
     advanceStore();
     VmRegistry vms(daemon->ioContext(), { "127.0.0.1", store->port() }, { "vm1", "a", {} }, {}, [](const auto&) {});
     PeerFeeds feeds(daemon->ioContext(), { "127.0.0.1", 0 }, vms);
-    feeds.exchange(PeerRollouts::path, [this](const std::string& body) { return rollouts->takeAccount(body); });
+    feeds.exchange(PeerRollouts::path, [this](const std::string& body) { return rollouts->takeReport(body); });
     CHECK_FALSE(feeds.start().has_value());
     RelaySettings settings;
     settings.vmName = "vm2";
--- a/test/PeerRunLocationsTest.cpp
+++ b/test/PeerRunLocationsTest.cpp
@@ -25,9 +25,9 @@
         CHECK_FALSE(feeds.start().has_value());
         entry = { name, "a", { "127.0.0.1", feeds.port() } };
         locations = std::make_unique<PeerRunLocations>(ioContext, clock, entry, stored);
-        feeds.take(PeerRunLocations::tellPath, [this](const std::string& body) { return locations->take(body); });
+        feeds.take(PeerRunLocations::reportPath, [this](const std::string& body) { return locations->take(body); });
         feeds.tell(
-            PeerRunLocations::askPath, [this](const std::string& promptId) { return locations->tell(promptId); });
+            PeerRunLocations::requestPath, [this](const std::string& promptId) { return locations->tell(promptId); });
     }
 
     ManualClock clock;
@@ -43,7 +43,7 @@
 public:
     void note(const std::string&, const RunLocation&) override { }
     void forget(const std::string&) override { }
-    void find(const std::string&, Found found) override
+    void find(const std::string&, FindCallback found) override
     {
         ++finds;
         found(std::nullopt);
@@ -161,7 +161,7 @@
     addVms(2);
     store->setFault(StoreFault::None);
     StoreRunLocations writer(*ioContext, { "127.0.0.1", store->port() });
-    writer.hurry();
+    writer.writeSoon();
     writer.note("91bd", { "e1", "e2", "r1" });
     CHECK(runUntil([&] { return store->value("runs", "91bd").has_value(); }));
     STRCMP_EQUAL("e1 e2 r1", find(*vms[1], "91bd").c_str());
--- a/test/PlacementTest.cpp
+++ b/test/PlacementTest.cpp
@@ -77,14 +77,14 @@
 {
     for (std::uint64_t seed = 0; seed < 30; ++seed)
         STRCMP_EQUAL(
-            "b", choose({ .zonesToLeave = { "a" }, .mustBeSound = true }, seed)->entry().availabilityZone.c_str());
+            "b", choose({ .zonesToLeave = { "a" }, .mustBeHealthy = true }, seed)->entry().availabilityZone.c_str());
 }
 
 TEST(Placement, FindsNoPlaceForACopyAmongAvoidedEndpoints)
 {
     for (const auto& endpoint : directory->endpointsOf("s"))
         endpoint->avoidUntil(now + Milliseconds { 1 });
-    CHECK(!choose({ .mustBeSound = true }));
+    CHECK(!choose({ .mustBeHealthy = true }));
     CHECK_TEXT(choose({}) != nullptr, "an avoided endpoint is still better than none");
 }
 
--- a/test/PlatformCallProtocolTest.cpp
+++ b/test/PlatformCallProtocolTest.cpp
@@ -22,7 +22,7 @@
         { { "X-Request-Id", "9c41" }, { "X-Deadline-Ms", "25000" }, { "Api-Key", "k" }, { "Last-Event-Id", "12" },
             { "X-Token-Usage", "1460,80" }, { "X-Prompt-Prefix", "5c1e07a2:800,e4402b7d:250" } });
     STRCMP_EQUAL("9c41", fields.requestId.c_str());
-    LONGS_EQUAL(25000, fields.patience->count());
+    LONGS_EQUAL(25000, fields.callerTimeout->count());
     LONGS_EQUAL(12, *fields.lastEventId);
     LONGS_EQUAL(1460, fields.promptTokens);
     STRCMP_EQUAL("e4402b7d", fields.promptId.c_str());
@@ -79,7 +79,7 @@
     ForwardFields fields;
     fields.lastEventId = 12;
     fields.copyTo = SocketAddress { "10.0.0.1", 80 };
-    fields.continueFrom = CopySource { { "10.0.0.2", 81 }, "9c41" };
+    fields.continueFrom = RunMemorySource { { "10.0.0.2", 81 }, "9c41" };
     const auto request = protocol.encodeForward({}, fields);
     STRCMP_EQUAL("12", value(request.headers, "Last-Event-Id").c_str());
     STRCMP_EQUAL("10.0.0.1:80", value(request.headers, "X-Kv-Backup").c_str());
@@ -91,10 +91,10 @@
     HttpResponse shed { 503, { { "X-Not-Executed", "1" } }, "" };
     CHECK(protocol.decodeAnswer(shed).isNotRun);
     HttpResponse other { 421, { { "X-Instance-Id", "i-2" } }, "" };
-    CHECK(protocol.decodeAnswer(other).isOtherEndpoint);
+    CHECK(protocol.decodeAnswer(other).isOtherIncarnation);
     HttpResponse good { 200, { { "X-Response-Signature", "s" }, { "X-Request-Id", "9c41" } }, "" };
     const auto fields = protocol.decodeAnswer(good);
-    CHECK(fields.isSigned && !fields.isNotRun && !fields.isOtherEndpoint);
+    CHECK(fields.isSigned && !fields.isNotRun && !fields.isOtherIncarnation);
     STRCMP_EQUAL("9c41", fields.requestId.c_str());
 }
 
@@ -112,7 +112,7 @@
     const auto load = protocol.decodeLoad({ 200, {},
         R"({"waiting":2,"running":3,"kv-used":41000,"kv-total":55000,"runs":[["a",5,1,5],["b",6,2,5]],"next-token":9})" });
     CHECK(load.has_value());
-    LONGS_EQUAL_TEXT(1, load->promptsBeingRead, "a run that is not listed has made no event yet");
+    LONGS_EQUAL_TEXT(1, load->promptsInPrefill, "a run that is not listed has made no event yet");
     LONGS_EQUAL(2, load->promptsWaiting);
     LONGS_EQUAL(2, load->generating);
     LONGS_EQUAL(41000, load->memoryUsed);
@@ -134,11 +134,11 @@
     const auto load = protocol.decodeLoad({ 200, {},
         R"({"waiting":18446744073709551615,"running":99999999,"kv-used":18446744073709551615,"kv-total":-1,"runs":[1]})" });
     CHECK(load.has_value());
-    CHECK(load->promptsWaiting <= 1000 && load->promptsBeingRead <= 1000);
+    CHECK(load->promptsWaiting <= 1000 && load->promptsInPrefill <= 1000);
     CHECK(load->memoryUsed <= 1000000000);
     LONGS_EQUAL(0, load->memoryTotal);
     LONGS_EQUAL_TEXT(0,
-        protocol.decodeLoad({ 200, {}, R"({"waiting":0,"running":1,"runs":[1,2,3]})" })->promptsBeingRead,
+        protocol.decodeLoad({ 200, {}, R"({"waiting":0,"running":1,"runs":[1,2,3]})" })->promptsInPrefill,
         "more runs than are running");
 }
 
--- a/test/PlatformRowsTest.cpp
+++ b/test/PlatformRowsTest.cpp
@@ -112,11 +112,11 @@
         return decodeEndpoint(
             "i-7f", R"({"service":"llm","address":"10.1.0.9:8080","state":"ready")" + rest + "}", problem);
     };
-    CHECK(entry(R"(,"born":1791000000123)")->born == 1791000000123);
-    CHECK_TEXT(entry("")->born == 0, "an endpoint need not say it");
-    CHECK_TEXT(entry(R"(,"born":-5)")->born == 0, "it is no start");
-    CHECK_TEXT(entry(R"(,"born":0)")->born == 0, "it is no start");
-    STRCMP_EQUAL("i-7f@1791000000123", entry(R"(,"born":1791000000123)")->startName().c_str());
+    CHECK(entry(R"(,"born":1791000000123)")->startTime == 1791000000123);
+    CHECK_TEXT(entry("")->startTime == 0, "an endpoint need not say it");
+    CHECK_TEXT(entry(R"(,"born":-5)")->startTime == 0, "it is no start");
+    CHECK_TEXT(entry(R"(,"born":0)")->startTime == 0, "it is no start");
+    STRCMP_EQUAL("i-7f@1791000000123", entry(R"(,"born":1791000000123)")->incarnationName().c_str());
     CHECK_TEXT(!entry(R"(,"born":"yesterday")"), "an entry with a field of another type is another writer's");
 }
 
--- a/test/PlatformStoreTest.cpp
+++ b/test/PlatformStoreTest.cpp
@@ -292,7 +292,7 @@
     Followed started;
     started.follow(*ioContext, store->port(), "servers");
     CHECK(runUntil([&] { return started.snapshots == 1; }));
-    cutOff.feed->takeFromPeer(started.feed->encodeChanges(*cutOff.feed->position()));
+    cutOff.feed->applyFromPeer(started.feed->encodeChanges(*cutOff.feed->position()));
     CHECK_TEXT(cutOff.rows.count("a") == 0, "the row that is gone should be gone here too");
     LONGS_EQUAL(1, cutOff.rows.count("b"));
 }
@@ -391,7 +391,7 @@
     std::size_t count = 0;
     VmRegistry vms(*ioContext, address, { "vm7", "a", { "10.0.0.7", 7200 } }, {},
         [&count](const std::vector<VmEntry>& others) { count = others.size() + 1; });
-    vms.shareThrough(shared.readers);
+    vms.useZoneReaders(shared.readers);
     CHECK(runUntil([&] { return count > 0; }));
     LONGS_EQUAL_TEXT(2, count, "the reader's table names vm1 only");
     LONGS_EQUAL_TEXT(1, store->callCount(), "the VM enters itself, and does not read the table at the store");
@@ -402,7 +402,7 @@
     const SocketAddress address { "127.0.0.1", store->port() };
     StoreRunLocations writer(*ioContext, address);
     StoreRunLocations reader(*ioContext, address);
-    writer.hurry();
+    writer.writeSoon();
     writer.note("p1", { "e1", "e2", "r1" });
     CHECK(runUntil([&] { return store->value("runs", "p1").has_value(); }));
 
@@ -427,7 +427,7 @@
 {
     store->setFault(StoreFault::Unavailable);
     StoreRunLocations writer(*ioContext, { "127.0.0.1", store->port() });
-    writer.hurry();
+    writer.writeSoon();
     writer.note("p1", { "e1", "e2", "r1" });
     CHECK(runUntil([&] { return store->callCount() > 0; }));
     store->setFault(StoreFault::None);
@@ -438,7 +438,7 @@
 {
     store->setFault(StoreFault::Silent);
     StoreRunLocations writer(*ioContext, { "127.0.0.1", store->port() });
-    writer.hurry();
+    writer.writeSoon();
     writer.note("p1", { "e1", "e2", "r1" });
     CHECK(runUntil([&] { return store->callCount() == 1; }));
     store->setFault(StoreFault::None);
@@ -453,9 +453,9 @@
     auto& target = *shared.readersStore;
     StoreRunLocations readersLocations(*ioContext, { "127.0.0.1", target.port() });
     shared.feeds.take(
-        StoreRunLocations::peerPath, [&](const std::string& body) { return readersLocations.takeFromPeer(body); });
+        StoreRunLocations::peerPath, [&](const std::string& body) { return readersLocations.applyFromPeer(body); });
     StoreRunLocations locations(*ioContext, { "127.0.0.1", shared.ownStore->port() });
-    locations.shareThrough(shared.readers);
+    locations.useZoneReaders(shared.readers);
     locations.note("p1", { "e1", "e2", "r1" });
     CHECK(runUntil([&] { return target.value("runs", "p1").has_value(); }));
     locations.forget("p1");
@@ -468,7 +468,7 @@
 {
     SharedReading shared(*ioContext);
     StoreRunLocations locations(*ioContext, { "127.0.0.1", shared.ownStore->port() });
-    locations.shareThrough(shared.readers);
+    locations.useZoneReaders(shared.readers);
     locations.note("p1", { "e1", "e2", "r1" });
     CHECK(runUntil([&] { return shared.ownStore->value("runs", "p1").has_value(); }));
 }
@@ -477,8 +477,8 @@
 {
     StoreRunLocations locations(*ioContext, { "127.0.0.1", store->port() });
     for (const auto* const text : { "", "[]", "{}", "{\"noted\":[],\"forgotten\":[]}", "{\"noted\":{}}" })
-        CHECK_FALSE_TEXT(locations.takeFromPeer(text), text);
-    CHECK(locations.takeFromPeer("{\"noted\":{\"p1\":7},\"forgotten\":[3]}"));
+        CHECK_FALSE_TEXT(locations.applyFromPeer(text), text);
+    CHECK(locations.applyFromPeer("{\"noted\":{\"p1\":7},\"forgotten\":[3]}"));
 }
 
 TEST(PlatformStore, ALookupThatFailsAnswersThatNothingIsKnown)
--- a/test/PolicyTest.cpp
+++ b/test/PolicyTest.cpp
@@ -57,7 +57,7 @@
 TEST(Policy, WithoutTheSurveyNoEngineIsAskedForItsLoad)
 {
     relay->settings.policies.switchOff(Policy::LoadSurvey);
-    relay->useEngines();
+    relay->useEngineService();
     relay->addRoute("stream", RequestKind::EventStream, 5);
     auto& first = relay->addEndpoint("e1");
     auto& second = relay->addEndpoint("e2");
@@ -75,7 +75,7 @@
     engine.onRequest(streams());
     relay->addEndpoint("e2", "b").onRequest(streams());
     CHECK(callOnce("/stream/1")->isWhole);
-    CHECK_FALSE(engine.hasAsked(0, "X-Kv-Backup"));
+    CHECK_FALSE(engine.hasReceived(0, "X-Kv-Backup"));
 }
 
 TEST(Policy, WithoutTheTimeCheckAHopelessRequestIsSentAllTheSame)
@@ -89,7 +89,7 @@
 TEST(Policy, WithoutSecondSendingsASlowCallIsSentOnce)
 {
     relay->settings.policies.switchOff(Policy::SecondSendings);
-    relay->settings.shortestHedgeDelay = relay->settings.longestHedgeDelay = Milliseconds { 1 };
+    relay->settings.minHedgeDelay = relay->settings.maxHedgeDelay = Milliseconds { 1 };
     relay->settings.retrySlackShare = 1;
     relay->addRoute("call", RequestKind::Idempotent, 2);
     const auto slow = [this](ScriptedConnection& asker, const std::string&) {
--- a/test/QuarantineTest.cpp
+++ b/test/QuarantineTest.cpp
@@ -113,9 +113,9 @@
 TEST(Quarantine, ForgetsOldRecords)
 {
     addFull(3);
-    quarantine.forgetOld(start + Quarantine::recordTime - Milliseconds { 1 });
+    quarantine.forgetOld(start + Quarantine::recordLifetime - Milliseconds { 1 });
     CHECK(quarantine.isSuspect("d"));
-    quarantine.forgetOld(start + Quarantine::recordTime);
+    quarantine.forgetOld(start + Quarantine::recordLifetime);
     CHECK_FALSE(quarantine.isSuspect("d"));
 }
 
--- a/test/RelayHandlerTest.cpp
+++ b/test/RelayHandlerTest.cpp
@@ -66,9 +66,9 @@
     LONGS_EQUAL(401, statusOf("/closed/1", { { "Api-Key", "k2" } }));
     checkNothingReachedTheEndpoint();
     statusOf("/closed/1", { { "Api-Key", "k1" }, { "X-Tenant", "forged" } });
-    CHECK(endpoint->hasAsked(0, "X-Tenant: acme\r\n"));
-    CHECK_FALSE(endpoint->hasAsked(0, "k1"));
-    CHECK_FALSE(endpoint->hasAsked(0, "forged"));
+    CHECK(endpoint->hasReceived(0, "X-Tenant: acme\r\n"));
+    CHECK_FALSE(endpoint->hasReceived(0, "k1"));
+    CHECK_FALSE(endpoint->hasReceived(0, "forged"));
 }
 
 TEST(RelayHandler, RefusesFieldsThatCannotBeRead)
--- a/test/RelayHarness.cpp
+++ b/test/RelayHarness.cpp
@@ -20,7 +20,7 @@
     return *m_daemon;
 }
 
-void RelayHarness::useEngines() { m_builder.addService({ "s", 0, true, true, 5 }); }
+void RelayHarness::useEngineService() { m_builder.addService({ "s", 0, true, true, 5 }); }
 
 void RelayHarness::addRoute(const std::string& prefix, RequestKind kind, unsigned maxAttempts, bool isPublic)
 {
--- a/test/RelayHarness.h
+++ b/test/RelayHarness.h
@@ -3,7 +3,7 @@
 
 #include "PlatformCallProtocol.h"
 #include "ScriptedEndpoint.h"
-#include "http/HttpQuestion.h"
+#include "http/HttpRoundTrip.h"
 #include "relay/RelayConfiguration.h"
 #include "relay/RelayDaemon.h"
 #include "relay/RelaySettings.h"
@@ -14,9 +14,9 @@
 // A caller's request and what has come back so far.
 class TestCaller final : public ClientConnectionListener, public std::enable_shared_from_this<TestCaller> {
 public:
-    void answerHead(const HttpResponse& response) override { head = response; }
-    void answerBody(std::string_view piece) override { body.append(piece); }
-    bool answerEnd() override
+    void responseHeaderReceived(const HttpResponse& response) override { head = response; }
+    void responseBodyReceived(std::string_view piece) override { body.append(piece); }
+    bool responseEnded() override
     {
         isWhole = true;
         return false;
@@ -37,7 +37,7 @@
     RelayHarness();
 
     // The service's endpoints are engines that can be asked for their load.
-    void useEngines();
+    void useEngineService();
     // Adds a route at /PREFIX/ of the host h.
     void addRoute(const std::string& prefix, RequestKind, unsigned maxAttempts, bool isPublic = true);
     // Adds a route for plain calls of an organisation, and the key that it wants.
--- a/test/RetryBudgetTest.cpp
+++ b/test/RetryBudgetTest.cpp
@@ -26,12 +26,12 @@
     }
 
     // For a request that came before the window.
-    bool take(RetryBudget & budget, RetryPurpose purpose = RetryPurpose::Rescue)
+    bool take(RetryBudget & budget, RetryPurpose purpose = RetryPurpose::Failover)
     {
         return budget.take(purpose, now - settings.retryWindow - Milliseconds { 1 }, now);
     }
 
-    int takeAll(RetryBudget & budget, RetryPurpose purpose = RetryPurpose::Rescue)
+    int takeAll(RetryBudget & budget, RetryPurpose purpose = RetryPurpose::Failover)
     {
         int taken = 0;
         while (taken < 1000 && take(budget, purpose))
@@ -69,8 +69,8 @@
     RetryBudget budget(settings);
     for (int i = 0; i < 16; ++i)
         budget.noteRequest(now);
-    LONGS_EQUAL(6, takeAll(budget, RetryPurpose::Precaution));
-    LONGS_EQUAL(4, takeAll(budget, RetryPurpose::Rescue));
+    LONGS_EQUAL(6, takeAll(budget, RetryPurpose::Proactive));
+    LONGS_EQUAL(4, takeAll(budget, RetryPurpose::Failover));
 }
 
 TEST(RetryBudget, RescuesDoNotExceedThePart)
@@ -96,12 +96,12 @@
 
 TEST(RetryBudget, TakesNoShareOfTheFixedNumberJustAfterAStart)
 {
-    settings.retrySlackFrom = now + Milliseconds { 1 };
+    settings.retrySlackStartsAt = now + Milliseconds { 1 };
     RetryBudget budget(settings);
     budget.noteRequest(now);
     budget.noteRequest(now);
     LONGS_EQUAL(1, takeAll(budget));
-    now = settings.retrySlackFrom;
+    now = settings.retrySlackStartsAt;
     LONGS_EQUAL(2, takeAll(budget));
 }
 
@@ -124,7 +124,7 @@
     for (int i = 0; i < 5; ++i)
         budget.noteRequest(now);
     int taken = 0;
-    while (taken < 100 && budget.take(RetryPurpose::Rescue, now, now))
+    while (taken < 100 && budget.take(RetryPurpose::Failover, now, now))
         ++taken;
     LONGS_EQUAL_TEXT(6, taken, "four other requests and the share of the fixed number");
 }
@@ -133,12 +133,12 @@
 {
     settings.retryRatio = 1;
     settings.retryShareAfterStart = 0.5;
-    settings.retrySlackFrom = now + Milliseconds { 1 };
+    settings.retrySlackStartsAt = now + Milliseconds { 1 };
     RetryBudget budget(settings);
     for (int i = 0; i < 20; ++i)
         budget.noteRequest(now);
     LONGS_EQUAL(10, takeAll(budget));
-    now = settings.retrySlackFrom;
+    now = settings.retrySlackStartsAt;
     LONGS_EQUAL(12, takeAll(budget));
 }
 
@@ -177,7 +177,7 @@
                 ++requests.back();
             }
             // Every call that waits tries again as often as it may.
-            retries.back() += take(vm, RetryPurpose::FullService) ? 1 : 0;
+            retries.back() += take(vm, RetryPurpose::AfterRejection) ? 1 : 0;
         }
         now += Milliseconds { 100 };
     }
--- a/test/RolloutTest.cpp
+++ b/test/RolloutTest.cpp
@@ -1,6 +1,6 @@
 #include "RelayHarness.h"
 #include "relay/EndpointDirectory.h"
-#include "rollout/RolloutGatherer.h"
+#include "rollout/RolloutAggregator.h"
 #include "rollout/RolloutJudge.h"
 
 #include <CppUTest/TestHarness.h>
@@ -26,7 +26,7 @@
 {
     Milliseconds now { 100000 };
     // One VM of five, whose share of the fixed number is eight of fifty: 0.8 of ten.
-    const RolloutTerms terms { { 0.1, 50 }, 0.2, "" };
+    const RolloutParameters terms { { 0.1, 50 }, 0.2, "" };
     Rollout rollout { order, terms };
 
     bool triesCandidate() { return rollout.choose(now).admits("v2"); }
@@ -43,13 +43,13 @@
 TEST(Rollout, SendsNothingToACandidateBeforeAGathererAllowsIt)
 {
     CHECK_FALSE(triesCandidate());
-    rollout.hear(GathererWord::Try, now);
+    rollout.applyDirective(RolloutDirective::Try, now);
     CHECK(triesCandidate());
 }
 
 TEST(Rollout, SpendsNoMoreThanItsPartOfTheExposure)
 {
-    rollout.hear(GathererWord::Try, now);
+    rollout.applyDirective(RolloutDirective::Try, now);
     const auto fixed = tryAll();
     CHECK_TEXT(fixed == 8 || fixed == 9, "0.8 of a fifth of 50, rounded");
     for (int i = 0; i < 100; ++i)
@@ -59,15 +59,15 @@
 
 TEST(Rollout, APermissionEndsWhenNoGathererIsHeard)
 {
-    rollout.hear(GathererWord::Try, now);
+    rollout.applyDirective(RolloutDirective::Try, now);
     now += Rollout::permissionHolds;
     CHECK_FALSE(triesCandidate());
 }
 
 TEST(Rollout, AStopHoldsWhateverOtherGatherersSay)
 {
-    rollout.hear(GathererWord::Stop, now);
-    rollout.hear(GathererWord::Try, now);
+    rollout.applyDirective(RolloutDirective::Stop, now);
+    rollout.applyDirective(RolloutDirective::Try, now);
     CHECK_FALSE(triesCandidate());
 }
 
@@ -75,26 +75,26 @@
 {
     rollout.decide(RolloutDecision::RolledBack, now);
     rollout.decide(RolloutDecision::Completed, now);
-    rollout.hear(GathererWord::Try, now);
+    rollout.applyDirective(RolloutDirective::Try, now);
     CHECK_FALSE(triesCandidate());
-    CHECK(rollout.proven(now).admits("v1"));
+    CHECK(rollout.provenChoice(now).admits("v1"));
 }
 
 TEST(Rollout, ACompletedCandidateServesAloneUntilTheOthersHaveLeftTheList)
 {
     rollout.decide(RolloutDecision::Completed, now);
-    CHECK(rollout.proven(now).admits("v2"));
-    CHECK_FALSE(rollout.proven(now).admits("v1"));
+    CHECK(rollout.provenChoice(now).admits("v2"));
+    CHECK_FALSE(rollout.provenChoice(now).admits("v1"));
     now += Rollout::replacedLeaveWithin;
-    CHECK_TEXT(rollout.proven(now).admits("v3"), "the next version may come without an order");
+    CHECK_TEXT(rollout.provenChoice(now).admits("v3"), "the next version may come without an order");
 }
 
 TEST(Rollout, CopiesLieWithACandidateOnlyOnceItIsAboutToTakeOver)
 {
-    rollout.hear(GathererWord::Try, now);
-    CHECK_FALSE(rollout.forCopies(now).admits("v2"));
-    rollout.hear(GathererWord::Ready, now);
-    CHECK(rollout.forCopies(now).admits("v2"));
+    rollout.applyDirective(RolloutDirective::Try, now);
+    CHECK_FALSE(rollout.choiceForCopies(now).admits("v2"));
+    rollout.applyDirective(RolloutDirective::Ready, now);
+    CHECK(rollout.choiceForCopies(now).admits("v2"));
 }
 
 TEST_GROUP(RolloutJudge) {};
@@ -129,44 +129,44 @@
     CHECK_FALSE(isAcceptable(seen({ 100, 1 }, { 10, 0 })));
 }
 
-TEST_GROUP(RolloutGatherer)
+TEST_GROUP(RolloutAggregator)
 {
     Milliseconds now { 100000 };
-    RolloutGatherer gatherer { order, now };
+    RolloutAggregator aggregator { order, now };
 };
 
-TEST(RolloutGatherer, CountsAProcessOnceHoweverOftenItTells)
+TEST(RolloutAggregator, CountsAProcessOnceHoweverOftenItTells)
 {
     for (int i = 0; i < 3; ++i)
-        gatherer.take("vm-1/1", seen({ 10, 0 }, { 2, 1 }), false);
-    gatherer.take("vm-1/1", seen({ 5, 0 }, { 1, 0 }), false);
-    gatherer.take("vm-1/2", seen({ 3, 0 }, { 1, 1 }), false);
-    LONGS_EQUAL(3, gatherer.evidence().total().candidate.answers);
-    LONGS_EQUAL(13, gatherer.evidence().total().present.answers);
+        aggregator.addReport("vm-1/1", seen({ 10, 0 }, { 2, 1 }), false);
+    aggregator.addReport("vm-1/1", seen({ 5, 0 }, { 1, 0 }), false);
+    aggregator.addReport("vm-1/2", seen({ 3, 0 }, { 1, 1 }), false);
+    LONGS_EQUAL(3, aggregator.evidence().total().candidate.answers);
+    LONGS_EQUAL(13, aggregator.evidence().total().present.answers);
 }
 
-TEST(RolloutGatherer, PassesOnWhatAnotherGathererHasJudged)
+TEST(RolloutAggregator, PassesOnWhatAnotherGathererHasJudged)
 {
-    gatherer.take("vm-1/1", {}, true);
-    CHECK(gatherer.word(now) == GathererWord::Stop);
-    CHECK(gatherer.wanted(now) == RolloutDecision::RolledBack);
+    aggregator.addReport("vm-1/1", {}, true);
+    CHECK(aggregator.directive(now) == RolloutDirective::Stop);
+    CHECK(aggregator.dueDecision(now) == RolloutDecision::RolledBack);
 }
 
-TEST(RolloutGatherer, CompletesAGoodCandidateNearTheEndOfItsTime)
+TEST(RolloutAggregator, CompletesAGoodCandidateNearTheEndOfItsTime)
 {
-    gatherer.take("vm-1/1", seen({ 400, 4 }, { 80, 1 }), false);
-    CHECK_FALSE(gatherer.wanted(now).has_value());
+    aggregator.addReport("vm-1/1", seen({ 400, 4 }, { 80, 1 }), false);
+    CHECK_FALSE(aggregator.dueDecision(now).has_value());
     now += Milliseconds { 9000 };
-    CHECK(gatherer.wanted(now) == RolloutDecision::Completed);
+    CHECK(aggregator.dueDecision(now) == RolloutDecision::Completed);
 }
 
-TEST(RolloutGatherer, LeavesTheDecisionToOthersWhenItKnowsLittleAndRollsBackInTheEnd)
+TEST(RolloutAggregator, LeavesTheDecisionToOthersWhenItKnowsLittleAndRollsBackInTheEnd)
 {
-    gatherer.take("vm-1/1", seen({ 4, 0 }, { 1, 0 }), false);
+    aggregator.addReport("vm-1/1", seen({ 4, 0 }, { 1, 0 }), false);
     now += Milliseconds { 9500 };
-    CHECK_FALSE(gatherer.wanted(now).has_value());
+    CHECK_FALSE(aggregator.dueDecision(now).has_value());
     now += Milliseconds { 300 };
-    CHECK(gatherer.wanted(now) == RolloutDecision::RolledBack);
+    CHECK(aggregator.dueDecision(now) == RolloutDecision::RolledBack);
 }
 
 TEST_GROUP(RolloutOnRelay)
@@ -213,7 +213,7 @@
 TEST(RolloutOnRelay, ACallThatTheCandidateFailsIsAnsweredByThePresentVersion)
 {
     auto& rollout = *relay.daemon().rollouts().find("s");
-    rollout.hear(GathererWord::Try, relay.daemon().clock().now());
+    rollout.applyDirective(RolloutDirective::Try, relay.daemon().clock().now());
     for (int i = 0; i < 5; ++i)
         STRCMP_EQUAL("200", call("r" + std::to_string(i)).c_str());
     LONGS_EQUAL(5, rollout.evidence().total().candidate.bad);
@@ -224,7 +224,7 @@
 {
     auto& rollout = *relay.daemon().rollouts().find("s");
     const auto now = relay.daemon().clock().now();
-    rollout.hear(GathererWord::Try, now);
+    rollout.applyDirective(RolloutDirective::Try, now);
     rollout.decide(RolloutDecision::RolledBack, now);
     STRCMP_EQUAL("200", call("r1").c_str());
     LONGS_EQUAL(0, rollout.exposed());
--- a/test/ScriptedEndpoint.h
+++ b/test/ScriptedEndpoint.h
@@ -122,7 +122,7 @@
     const std::vector<std::string>& requests() const { return m_requests; }
     const std::vector<std::shared_ptr<ScriptedConnection>>& connections() const { return m_connections; }
     // True when the request with this number, from 0, holds the text.
-    bool hasAsked(std::size_t number, const std::string& text) const
+    bool hasReceived(std::size_t number, const std::string& text) const
     {
         return number < m_requests.size() && m_requests[number].find(text) != std::string::npos;
     }
--- a/test/ServicePaceTest.cpp
+++ b/test/ServicePaceTest.cpp
@@ -19,7 +19,7 @@
 TEST(ServicePace, StatesTheWaitsThatHoldBeforeAnythingHasBeenSeen)
 {
     LONGS_EQUAL(75, pace.hedgeDelay().count());
-    LONGS_EQUAL(170, pace.silenceBeforeQuestion(Milliseconds { 170 }).count());
+    LONGS_EQUAL(170, pace.silenceBeforeProbe(Milliseconds { 170 }).count());
     LONGS_EQUAL_TEXT(1500, pace.silenceBeforeFirstEvent(5000).count(), "half as long again as the reading takes");
     LONGS_EQUAL(1000, readTime({ 5000, 0 }, pace.engine()).count());
 }
@@ -27,8 +27,8 @@
 TEST(ServicePace, WaitsLongerForEnginesThatAreSeenToBeSlower)
 {
     fill(pace.eventInterval, 62);
-    fill(pace.readTimePerToken, 0.4);
-    LONGS_EQUAL(341, pace.silenceBeforeQuestion(Milliseconds { 170 }).count());
+    fill(pace.prefillTimePerToken, 0.4);
+    LONGS_EQUAL(341, pace.silenceBeforeProbe(Milliseconds { 170 }).count());
     LONGS_EQUAL(3000, pace.silenceBeforeFirstEvent(5000).count());
     LONGS_EQUAL(2000, readTime({ 5000, 0 }, pace.engine()).count());
 }
--- a/test/SilenceDetectorTest.cpp
+++ b/test/SilenceDetectorTest.cpp
@@ -1,4 +1,4 @@
-#include "lupinknot/EndpointPulse.h"
+#include "lupinknot/EndpointLiveness.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -24,21 +24,21 @@
 {
     const auto detector = makeSilenceDetector(DetectorKind::Quantile, bounds);
     observe(*detector, 15, 20);
-    LONGS_EQUAL(1000, detector->patience().count());
+    LONGS_EQUAL(1000, detector->silenceTimeout().count());
 }
 
 TEST(SilenceDetector, NeverGoesBelowTheFloor)
 {
     const auto detector = makeSilenceDetector(DetectorKind::Quantile, bounds);
     observe(*detector, 64, 1);
-    LONGS_EQUAL(100, detector->patience().count());
+    LONGS_EQUAL(100, detector->silenceTimeout().count());
 }
 
 TEST(SilenceDetector, AllowsAMultipleOfTheLongGapsByQuantile)
 {
     const auto detector = makeSilenceDetector(DetectorKind::Quantile, bounds);
     observe(*detector, 64, 50);
-    LONGS_EQUAL(150, detector->patience().count());
+    LONGS_EQUAL(150, detector->silenceTimeout().count());
 }
 
 TEST(SilenceDetector, ForgetsGapsThatAreLongPast)
@@ -46,7 +46,7 @@
     const auto detector = makeSilenceDetector(DetectorKind::Quantile, bounds);
     observe(*detector, 64, 300);
     observe(*detector, 256, 50);
-    LONGS_EQUAL(150, detector->patience().count());
+    LONGS_EQUAL(150, detector->silenceTimeout().count());
 }
 
 TEST(SilenceDetector, AllowsALittleMoreThanTheLongestGapByMaximum)
@@ -54,7 +54,7 @@
     const auto detector = makeSilenceDetector(DetectorKind::Maximum, bounds);
     observe(*detector, 1, 200);
     observe(*detector, 127, 20);
-    LONGS_EQUAL(260, detector->patience().count());
+    LONGS_EQUAL(260, detector->silenceTimeout().count());
 }
 
 TEST(SilenceDetector, KeepsALongGapInMindForAThousandMore)
@@ -62,75 +62,75 @@
     const auto detector = makeSilenceDetector(DetectorKind::Maximum, bounds);
     observe(*detector, 1, 200);
     observe(*detector, 1007, 20);
-    LONGS_EQUAL(260, detector->patience().count());
+    LONGS_EQUAL(260, detector->silenceTimeout().count());
     observe(*detector, 32, 20);
-    LONGS_EQUAL(100, detector->patience().count());
+    LONGS_EQUAL(100, detector->silenceTimeout().count());
 }
 
 TEST(SilenceDetector, TakesTheMeanAloneWhenPhiAccrualSeesNoSpread)
 {
     const auto detector = makeSilenceDetector(DetectorKind::PhiAccrual, bounds);
     observe(*detector, 64, 200);
-    LONGS_EQUAL(200, detector->patience().count());
+    LONGS_EQUAL(200, detector->silenceTimeout().count());
 }
 
 TEST(SilenceDetector, AnswersWithTheFloorWhenFixed)
 {
     const auto detector = makeSilenceDetector(DetectorKind::Fixed, bounds);
     observe(*detector, 64, 900);
-    LONGS_EQUAL(100, detector->patience().count());
+    LONGS_EQUAL(100, detector->silenceTimeout().count());
 }
 
-TEST_GROUP(EndpointPulse)
+TEST_GROUP(EndpointLiveness)
 {
-    PulseSettings settings { DetectorKind::Fixed, { at(100), at(1000) }, at(5000), at(400), at(3000) };
-    EndpointPulse pulse { settings };
+    LivenessSettings settings { DetectorKind::Fixed, { at(100), at(1000) }, at(5000), at(400), at(3000) };
+    EndpointLiveness liveness { settings };
 
-    void checkVerdict(PulseVerdict expected, std::int64_t now, const StreamActivity& activity)
+    void checkVerdict(LivenessVerdict expected, std::int64_t now, const StreamActivity& activity)
     {
-        LONGS_EQUAL(static_cast<int>(expected), static_cast<int>(pulse.verdict(at(now), activity)));
+        LONGS_EQUAL(static_cast<int>(expected), static_cast<int>(liveness.verdict(at(now), activity)));
     }
 };
 
-TEST(EndpointPulse, SuspectsAnEndpointWhoseStreamsAreAllSilent)
+TEST(EndpointLiveness, SuspectsAnEndpointWhoseStreamsAreAllSilent)
 {
     const StreamActivity activity { at(1000), true };
-    checkVerdict(PulseVerdict::Alive, 1099, activity);
-    checkVerdict(PulseVerdict::EndpointSilent, 1100, activity);
+    checkVerdict(LivenessVerdict::Alive, 1099, activity);
+    checkVerdict(LivenessVerdict::EndpointSilent, 1100, activity);
 }
 
-TEST(EndpointPulse, TakesATokenOfAnotherStreamAsASignOfLife)
+TEST(EndpointLiveness, TakesATokenOfAnotherStreamAsASignOfLife)
 {
     const StreamActivity activity { at(1000), true };
-    pulse.tokenSeen(at(1090), std::nullopt);
-    checkVerdict(PulseVerdict::Alive, 1189, activity);
-    checkVerdict(PulseVerdict::EndpointSilent, 1190, activity);
+    liveness.tokenSeen(at(1090), std::nullopt);
+    checkVerdict(LivenessVerdict::Alive, 1189, activity);
+    checkVerdict(LivenessVerdict::EndpointSilent, 1190, activity);
 }
 
-TEST(EndpointPulse, SuspectsALoneSilentStreamLater)
+TEST(EndpointLiveness, SuspectsALoneSilentStreamLater)
 {
     const StreamActivity activity { at(1000), true };
-    pulse.tokenSeen(at(6000), std::nullopt);
-    checkVerdict(PulseVerdict::StreamSilent, 6000, activity);
+    liveness.tokenSeen(at(6000), std::nullopt);
+    checkVerdict(LivenessVerdict::StreamSilent, 6000, activity);
 }
 
-TEST(EndpointPulse, GivesAFirstTokenTheTimeOfAPrefill)
+TEST(EndpointLiveness, GivesAFirstTokenTheTimeOfAPrefill)
 {
     const StreamActivity activity { at(1000), false };
-    checkVerdict(PulseVerdict::Alive, 1399, activity);
-    checkVerdict(PulseVerdict::EndpointSilent, 1400, activity);
+    checkVerdict(LivenessVerdict::Alive, 1399, activity);
+    checkVerdict(LivenessVerdict::EndpointSilent, 1400, activity);
 }
 
-TEST(EndpointPulse, LimitsTheWaitForAFirstTokenOnALiveEndpoint)
+TEST(EndpointLiveness, LimitsTheWaitForAFirstTokenOnALiveEndpoint)
 {
     const StreamActivity activity { at(1000), false };
-    pulse.tokenSeen(at(3900), std::nullopt);
-    checkVerdict(PulseVerdict::Alive, 3999, activity);
-    checkVerdict(PulseVerdict::StreamSilent, 4000, activity);
+    liveness.tokenSeen(at(3900), std::nullopt);
+    checkVerdict(LivenessVerdict::Alive, 3999, activity);
+    checkVerdict(LivenessVerdict::StreamSilent, 4000, activity);
 }
 
-TEST(EndpointPulse, TellsWhenItsVerdictCanChange)
+TEST(EndpointLiveness, TellsWhenItsVerdictCanChange)
 {
     const StreamActivity activity { at(1000), true };
-    LONGS_EQUAL(1100, pulse.nextCheck(activity).count());
+    LONGS_EQUAL(1100, liveness.nextCheck(activity).count());
 }
--- a/test/StoreCrashReportsTest.cpp
+++ b/test/StoreCrashReportsTest.cpp
@@ -86,7 +86,7 @@
             vm.reports.publish(record(i));
     }
 
-    bool isHeldAt(const Vm& vm) const { return vm.guard.standing(digest) == Standing::Held; }
+    bool isHeldAt(const Vm& vm) const { return vm.guard.quarantineStatus(digest) == QuarantineStatus::Held; }
 };
 
 TEST(StoreCrashReports, WhatVmsFindTogetherHoldsARequestAtAllOfThem)
@@ -212,7 +212,7 @@
     other->reports.sweep();
     CHECK_TEXT(store->value("crashes", digest + "/e1"), "it is still young");
     CHECK(runUntil([&] { return other->guard.isSuspect(digest); }));
-    other->clock.advance(2 * Quarantine::recordTime);
+    other->clock.advance(2 * Quarantine::recordLifetime);
     other->reports.sweep();
     CHECK(runUntil([&] { return !store->value("crashes", digest + "/e1"); }));
 }
--- a/test/StoreHistoryTest.cpp
+++ b/test/StoreHistoryTest.cpp
@@ -185,7 +185,7 @@
     const auto era = StoreEra::create(*ioContext);
     store->keepCopy();
     StoreRunLocations locations(*ioContext, { "127.0.0.1", store->port() }, era);
-    locations.hurry();
+    locations.writeSoon();
     locations.note("beef", { "i-1", "", "r1" });
     locations.note("dead", { "i-1", "", "r2" });
     CHECK(runUntil([&] { return store->value("runs", "beef") && store->value("runs", "dead"); }));
@@ -245,11 +245,11 @@
     list.restore({ RestoredList::entry(1) });
     CHECK(list.isListed(2));
     list.directory.upsert(RestoredList::entry(2), list.now);
-    list.pass(list.settings.missingEndpointsStay);
+    list.pass(list.settings.keepMissingEndpointsFor);
     CHECK_TEXT(list.isListed(2), "it has written its entry again");
 
     list.restore({ RestoredList::entry(1) });
-    list.pass(list.settings.missingEndpointsStay - Milliseconds { 1 });
+    list.pass(list.settings.keepMissingEndpointsFor - Milliseconds { 1 });
     CHECK(list.isListed(2));
     list.pass(Milliseconds { 1 });
     CHECK_FALSE_TEXT(list.isListed(2), "it may have left");
@@ -260,7 +260,7 @@
 {
     RestoredList list(*ioContext);
     list.restore({ RestoredList::entry(1) });
-    list.now += 2 * list.settings.missingEndpointsStay;
+    list.now += 2 * list.settings.keepMissingEndpointsFor;
     list.directory.dropExpired(list.now);
     CHECK(list.isListed(2));
 }
@@ -272,11 +272,11 @@
     list.restore({ RestoredList::entry(1), RestoredList::entry(2) });
     CHECK_FALSE(list.isListed(2));
     list.directory.change({ { { .id = "e2" }, true } }, list.now);
-    list.pass(list.settings.goneEndpointsStay);
+    list.pass(list.settings.ignoreGoneEndpointsFor);
     CHECK_FALSE_TEXT(list.isListed(2), "its entry has lapsed");
 
     list.restore({ RestoredList::entry(1), RestoredList::entry(2) });
-    list.pass(list.settings.goneEndpointsStay);
+    list.pass(list.settings.ignoreGoneEndpointsFor);
     CHECK_TEXT(list.isListed(2), "its entry is still there: it lives");
 }
 
@@ -300,7 +300,7 @@
     list.directory.upsert(leaving, list.now);
     list.directory.remove("e2", list.now);
     list.restore({ RestoredList::entry(1), RestoredList::entry(2) });
-    list.pass(list.settings.goneEndpointsStay);
+    list.pass(list.settings.ignoreGoneEndpointsFor);
     const auto endpoint = list.directory.find("e2");
     CHECK(endpoint && !endpoint->mayTakeWork(list.now, list.settings.leavingEndpointGrace));
 }
--- a/test/VmLossTest.cpp
+++ b/test/VmLossTest.cpp
@@ -70,7 +70,7 @@
 
 TEST(VmLoss, ResumesByPrefixWhereTheStreamIsGone)
 {
-    cluster.settings.journal.keepStream = Milliseconds { 0 };
+    cluster.settings.journal.detachedRunTime = Milliseconds { 0 };
     cluster.start();
     checkWhole(runAndKill(cluster.caller("k")));
     LONGS_EQUAL(2, cluster.engineRequests());
@@ -165,7 +165,7 @@
 
 TEST(VmLoss, RefusesWithoutAnotherVmWhereTheSettingsSaySo)
 {
-    cluster.settings.journal.goOnUnprotected = false;
+    cluster.settings.journal.continuesWithoutPeers = false;
     cluster.start();
     cluster.killVm(1);
     cluster.killVm(2);
--- a/test/WaitForPlaceTest.cpp
+++ b/test/WaitForPlaceTest.cpp
@@ -1,5 +1,5 @@
-#include "admission/WaitForPlace.h"
-#include "admission/WaitingRoom.h"
+#include "admission/WaitForCapacity.h"
+#include "admission/WaitingRequestLimit.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -25,7 +25,7 @@
 // How a VM deals with a call that found no place.
 enum class Rule {
     RefuseAtOnce, // "Come back in 250 ms", whatever the cause.
-    WaitForPlace,
+    WaitForCapacity,
 };
 
 // One caller, with a retry.
@@ -60,15 +60,15 @@
         }
         now += trying;
         const WaitingCall call { caller.arrivedAt, caller.deadline, caller.rounds };
-        const auto decision = waitForPlace(call, usual, spread(random), now);
-        if (rule == Rule::WaitForPlace && decision.waits) {
+        const auto decision = waitForCapacity(call, usual, spread(random), now);
+        if (rule == Rule::WaitForCapacity && decision.waits) {
             ++caller.rounds;
             events.push({ now + decision.pause, caller });
             continue;
         }
         outcome.longestHeld = std::max(outcome.longestHeld, now - caller.arrivedAt);
-        const auto pause = rule == Rule::WaitForPlace ? comeBackIn(obstacle, caller.deadline - now, spread(random))
-                                                      : Milliseconds { 250 };
+        const auto pause = rule == Rule::WaitForCapacity ? comeBackIn(obstacle, caller.deadline - now, spread(random))
+                                                         : Milliseconds { 250 };
         if (caller.hasRetried || now + pause >= caller.deadline) {
             ++outcome.lost;
             continue;
@@ -93,28 +93,28 @@
 
 } // namespace
 
-TEST_GROUP(WaitForPlace) {};
+TEST_GROUP(WaitForCapacity) {};
 
-TEST(WaitForPlace, WaitsLongerEachTimeAndNoLongerThanHalfOfItsTime)
+TEST(WaitForCapacity, WaitsLongerEachTimeAndNoLongerThanHalfOfItsTime)
 {
     WaitingCall call { Milliseconds { 0 }, Milliseconds { 1000 }, 0 };
-    LONGS_EQUAL(60, waitForPlace(call, usual, 0.5, Milliseconds { 10 }).pause.count());
+    LONGS_EQUAL(60, waitForCapacity(call, usual, 0.5, Milliseconds { 10 }).pause.count());
     call.rounds = 2;
-    LONGS_EQUAL(240, waitForPlace(call, usual, 0.5, Milliseconds { 10 }).pause.count());
+    LONGS_EQUAL(240, waitForCapacity(call, usual, 0.5, Milliseconds { 10 }).pause.count());
     call.rounds = 40;
-    LONGS_EQUAL(longestPause.count(), waitForPlace(call, usual, 0.5, Milliseconds { 10 }).pause.count());
-    CHECK(waitForPlace(call, usual, 0.5, Milliseconds { 100 }).waits);
-    CHECK_FALSE_TEXT(waitForPlace(call, usual, 0.5, Milliseconds { 101 }).waits,
+    LONGS_EQUAL(longestPause.count(), waitForCapacity(call, usual, 0.5, Milliseconds { 10 }).pause.count());
+    CHECK(waitForCapacity(call, usual, 0.5, Milliseconds { 100 }).waits);
+    CHECK_FALSE_TEXT(waitForCapacity(call, usual, 0.5, Milliseconds { 101 }).waits,
         "the other half of its time is for a try elsewhere");
 }
 
-TEST(WaitForPlace, RefusesAtOnceWhatCannotEndInTime)
+TEST(WaitForCapacity, RefusesAtOnceWhatCannotEndInTime)
 {
     const WaitingCall call { Milliseconds { 0 }, Milliseconds { 1000 }, 0 };
-    CHECK_FALSE(waitForPlace(call, Milliseconds { 980 }, 0.5, Milliseconds { 0 }).waits);
+    CHECK_FALSE(waitForCapacity(call, Milliseconds { 980 }, 0.5, Milliseconds { 0 }).waits);
 }
 
-TEST(WaitForPlace, TellsACallerToComeBackWithinTheTimeThatItCanUse)
+TEST(WaitForCapacity, TellsACallerToComeBackWithinTheTimeThatItCanUse)
 {
     LONGS_EQUAL(250, comeBackIn(PlaceObstacle::Full, Milliseconds { 4000 }, 0.5).count());
     LONGS_EQUAL(100, comeBackIn(PlaceObstacle::Full, Milliseconds { 300 }, 0.5).count());
@@ -124,20 +124,20 @@
 
 // A zone is cut off for five seconds, 300 callers come meanwhile; the first call of a VM tries four endpoints for 80 ms
 // each, later ones one.
-TEST(WaitForPlace, ReplayOfACutServesMostWhoWereLost)
+TEST(WaitForCapacity, ReplayOfACutServesMostWhoWereLost)
 {
     constexpr Milliseconds cut { 5000 };
     const auto arrivals = arrivalsWithin(cut, 300);
     const auto isOver = [cut](Milliseconds now) { return now >= cut; };
     const auto before = play(Rule::RefuseAtOnce, PlaceObstacle::Unreachable, Milliseconds { 320 }, arrivals, isOver);
-    const auto after = play(Rule::WaitForPlace, PlaceObstacle::Unreachable, Milliseconds { 80 }, arrivals, isOver);
+    const auto after = play(Rule::WaitForCapacity, PlaceObstacle::Unreachable, Milliseconds { 80 }, arrivals, isOver);
     CHECK_TEXT(before.lost > 230, "the load should lose most callers by the rule before");
     CHECK_TEXT(after.lost < 130, "three in five of the callers should be served now");
     CHECK_TEXT(after.longestHeld <= Milliseconds { 2080 }, "nobody is held for more than half of its time");
 }
 
 // A service of 36 places and 60 ms a call has been away: the calls of 0.6 s come at once.
-TEST(WaitForPlace, ReplayOfTheReturnOfAServiceLosesNobody)
+TEST(WaitForCapacity, ReplayOfTheReturnOfAServiceLosesNobody)
 {
     auto arrivals = arrivalsWithin(Milliseconds { 2000 }, 500);
     for (int i = 0; i < 140; ++i)
@@ -153,33 +153,33 @@
         });
     };
     CHECK_TEXT(run(Rule::RefuseAtOnce).lost > 0, "the load should lose some callers by the rule before");
-    LONGS_EQUAL(0, run(Rule::WaitForPlace).lost);
+    LONGS_EQUAL(0, run(Rule::WaitForCapacity).lost);
 }
 
-TEST_GROUP(WaitingRoom) {};
+TEST_GROUP(WaitingRequestLimit) {};
 
-TEST(WaitingRoom, HoldsNoMoreThanItsBounds)
+TEST(WaitingRequestLimit, HoldsNoMoreThanItsBounds)
 {
-    WaitingRoom room;
-    CHECK(room.enter(WaitingRoom::mostBytes));
+    WaitingRequestLimit room;
+    CHECK(room.enter(WaitingRequestLimit::mostBytes));
     CHECK_FALSE_TEXT(room.enter(1), "bodies must not take the memory that the VM needs");
-    room.leave(WaitingRoom::mostBytes);
-    for (std::size_t i = 0; i < WaitingRoom::mostRequests; ++i)
+    room.leave(WaitingRequestLimit::mostBytes);
+    for (std::size_t i = 0; i < WaitingRequestLimit::mostRequests; ++i)
         CHECK(room.enter(1));
     CHECK_FALSE(room.enter(1));
     room.leave(1);
     CHECK(room.enter(1));
 }
 
-TEST(WaitForPlace, ACallWaitsForAPlaceAtALimitedEndpointOnlyIfItComesInItsTime)
+TEST(WaitForCapacity, ACallWaitsForAPlaceAtALimitedEndpointOnlyIfItComesInItsTime)
 {
     const WaitingCall call { Milliseconds { 0 }, Milliseconds { 1500 }, 0 };
     const Milliseconds usual { 50 };
-    const auto soon = waitForOpening(call, Milliseconds { 600 }, usual, 0, Milliseconds { 100 });
+    const auto soon = waitForAvailability(call, Milliseconds { 600 }, usual, 0, Milliseconds { 100 });
     CHECK(soon.waits);
     LONGS_EQUAL(600, soon.pause.count());
-    CHECK_FALSE(waitForOpening(call, Milliseconds { 700 }, usual, 0, Milliseconds { 100 }).waits);
+    CHECK_FALSE(waitForAvailability(call, Milliseconds { 700 }, usual, 0, Milliseconds { 100 }).waits);
     LONGS_EQUAL_TEXT(shortestPause.count(),
-        waitForOpening(call, Milliseconds { 0 }, usual, 0, Milliseconds { 100 }).pause.count(),
+        waitForAvailability(call, Milliseconds { 0 }, usual, 0, Milliseconds { 100 }).pause.count(),
         "a place that was missed is not asked for again and again");
 }
--- a/test/WholeAnswerCallTest.cpp
+++ b/test/WholeAnswerCallTest.cpp
@@ -1,12 +1,12 @@
-#include "relay/WholeAnswerCall.h"
 #include "RelayHarness.h"
+#include "relay/BufferedCall.h"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace lupinknot;
 using namespace lupinknot::internal;
 
-TEST_GROUP(WholeAnswerCall)
+TEST_GROUP(BufferedCall)
 {
     std::unique_ptr<RelayHarness> relay;
 
@@ -14,7 +14,7 @@
     {
         relay = std::make_unique<RelayHarness>();
         // No second sending to a slow endpoint, unless a test wants it.
-        relay->settings.shortestHedgeDelay = relay->settings.longestHedgeDelay = Milliseconds { 100000 };
+        relay->settings.minHedgeDelay = relay->settings.maxHedgeDelay = Milliseconds { 100000 };
         relay->addRoute("once", RequestKind::NonIdempotent, 1);
         relay->addRoute("again", RequestKind::Idempotent, 2);
     }
@@ -39,7 +39,7 @@
     }
 };
 
-TEST(WholeAnswerCall, PassesAnAnswerOnUnchanged)
+TEST(BufferedCall, PassesAnAnswerOnUnchanged)
 {
     relay->addEndpoint("e1").onRequest(answers(200, "hello"));
     ready();
@@ -50,7 +50,7 @@
     STRCMP_EQUAL("s", caller->header("X-Response-Signature").c_str());
 }
 
-TEST(WholeAnswerCall, PassesAnEndpointsOwnErrorOn)
+TEST(BufferedCall, PassesAnEndpointsOwnErrorOn)
 {
     relay->addEndpoint("e1").onRequest(answers(500, "oops"));
     ready();
@@ -60,7 +60,7 @@
     STRCMP_EQUAL("oops", caller->body.c_str());
 }
 
-TEST(WholeAnswerCall, NeverSendsACallAgainThatMayHaveRun)
+TEST(BufferedCall, NeverSendsACallAgainThatMayHaveRun)
 {
     const auto reset = [](ScriptedConnection& asker, const std::string&) { asker.reset(); };
     auto& first = relay->addEndpoint("e1");
@@ -75,7 +75,7 @@
     LONGS_EQUAL(1, first.requests().size() + second.requests().size());
 }
 
-TEST(WholeAnswerCall, GoesOnElsewhereWhenTheFirstEndpointTookNoConnection)
+TEST(BufferedCall, GoesOnElsewhereWhenTheFirstEndpointTookNoConnection)
 {
     auto& dead = relay->addEndpoint("e1");
     relay->addEndpoint("e2", "b").onRequest(answers(200, "hello"));
@@ -86,7 +86,7 @@
     LONGS_EQUAL(200, caller->head.status);
 }
 
-TEST(WholeAnswerCall, RefusesAsNotRunWhenEveryEndpointTurnedItAway)
+TEST(BufferedCall, RefusesAsNotRunWhenEveryEndpointTurnedItAway)
 {
     const auto sheds = [](ScriptedConnection& asker, const std::string&) {
         asker.answer(503, "X-Request-Id: r1\r\nX-Not-Executed: 1\r\n", "");
@@ -101,7 +101,7 @@
     STRCMP_EQUAL("not-run", caller->header("Lupinknot-Outcome").c_str());
 }
 
-TEST(WholeAnswerCall, WaitsForAPlaceWhenEveryEndpointTurnsItAway)
+TEST(BufferedCall, WaitsForAPlaceWhenEveryEndpointTurnsItAway)
 {
     auto& full = relay->addEndpoint("e1");
     full.onRequest([&full](ScriptedConnection& asker, const std::string&) {
@@ -117,7 +117,7 @@
     LONGS_EQUAL(3, full.requests().size());
 }
 
-TEST(WholeAnswerCall, WaitsForAnEndpointWhenNoneIsKnown)
+TEST(BufferedCall, WaitsForAnEndpointWhenNoneIsKnown)
 {
     relay->configure();
     relay->list();
@@ -130,7 +130,7 @@
     LONGS_EQUAL(0, relay->daemon().waitingCount());
 }
 
-TEST(WholeAnswerCall, ACallerThatLeavesWaitsNoMore)
+TEST(BufferedCall, ACallerThatLeavesWaitsNoMore)
 {
     relay->configure();
     relay->list();
@@ -140,7 +140,7 @@
     CHECK(relay->runUntil([&] { return relay->daemon().waitingCount() == 0; }));
 }
 
-TEST(WholeAnswerCall, NeverWaitsWithACallThatMayHaveRun)
+TEST(BufferedCall, NeverWaitsWithACallThatMayHaveRun)
 {
     auto& endpoint = relay->addEndpoint("e1");
     endpoint.onRequest([](ScriptedConnection& asker, const std::string&) { asker.reset(); });
@@ -151,7 +151,7 @@
     LONGS_EQUAL(1, endpoint.requests().size());
 }
 
-TEST(WholeAnswerCall, SendsAnIdempotentCallElsewhereAfterABrokenAnswer)
+TEST(BufferedCall, SendsAnIdempotentCallElsewhereAfterABrokenAnswer)
 {
     const auto breaksOff = [](ScriptedConnection& asker, const std::string&) {
         asker.send("HTTP/1.1 200 OK\r\n" + signedHead + "Content-Length: 10\r\n\r\nhel");
@@ -166,7 +166,7 @@
     STRCMP_EQUAL("hello", caller->body.c_str());
 }
 
-TEST(WholeAnswerCall, PassesTheFirstErrorOnWhenTheSecondEndpointFailsToo)
+TEST(BufferedCall, PassesTheFirstErrorOnWhenTheSecondEndpointFailsToo)
 {
     relay->addEndpoint("e1").onRequest(answers(500, "oops"));
     relay->addEndpoint("e2", "b").onRequest([](ScriptedConnection& asker, const std::string&) { asker.reset(); });
@@ -176,7 +176,7 @@
     LONGS_EQUAL(500, caller->head.status);
 }
 
-TEST(WholeAnswerCall, TakesNoSuccessWithoutTheEndpointsSignature)
+TEST(BufferedCall, TakesNoSuccessWithoutTheEndpointsSignature)
 {
     relay->addEndpoint("e1").onRequest(
         [](ScriptedConnection& asker, const std::string&) { asker.answer(200, "X-Request-Id: r1\r\n", "hello"); });
@@ -186,7 +186,7 @@
     LONGS_EQUAL(502, caller->head.status);
 }
 
-TEST(WholeAnswerCall, SkipsAnAnswerThatBelongsToAnotherRequest)
+TEST(BufferedCall, SkipsAnAnswerThatBelongsToAnotherRequest)
 {
     relay->addEndpoint("e1").onRequest([](ScriptedConnection& asker, const std::string&) {
         asker.answer(200, "X-Request-Id: r0\r\nX-Response-Signature: s\r\n", "late");
@@ -198,7 +198,7 @@
     STRCMP_EQUAL("mine", caller->body.c_str());
 }
 
-TEST(WholeAnswerCall, GivesNobodyBytesThatFollowAWholeAnswer)
+TEST(BufferedCall, GivesNobodyBytesThatFollowAWholeAnswer)
 {
     auto& endpoint = relay->addEndpoint("e1");
     endpoint.onRequest([](ScriptedConnection& asker, const std::string& request) {
@@ -218,7 +218,7 @@
     LONGS_EQUAL_TEXT(2, endpoint.connections().size(), "the connection with extra bytes must not carry another call");
 }
 
-TEST(WholeAnswerCall, TakesAnAnswerWithoutALengthOnlyWhenItsConnectionClosesOrderly)
+TEST(BufferedCall, TakesAnAnswerWithoutALengthOnlyWhenItsConnectionClosesOrderly)
 {
     relay->addEndpoint("e1").onRequest([](ScriptedConnection& asker, const std::string& request) {
         const bool isFirst = request.find("r1") != std::string::npos;
@@ -238,9 +238,9 @@
     LONGS_EQUAL(502, broken->head.status);
 }
 
-TEST(WholeAnswerCall, AsksASecondEndpointWhenTheFirstIsSlow)
+TEST(BufferedCall, AsksASecondEndpointWhenTheFirstIsSlow)
 {
-    relay->settings.shortestHedgeDelay = relay->settings.longestHedgeDelay = Milliseconds { 5 };
+    relay->settings.minHedgeDelay = relay->settings.maxHedgeDelay = Milliseconds { 5 };
     auto& slow = relay->addEndpoint("e1");
     relay->addEndpoint("e2", "b").onRequest(answers(200, "hello"));
     ready();
@@ -250,7 +250,7 @@
     CHECK(relay->runUntil([&] { return slow.connections()[0]->isClosedByPeer(); }));
 }
 
-TEST(WholeAnswerCall, StopsTheEndpointsWorkWhenTheCallerLeaves)
+TEST(BufferedCall, StopsTheEndpointsWorkWhenTheCallerLeaves)
 {
     auto& endpoint = relay->addEndpoint("e1");
     ready();
@@ -260,7 +260,7 @@
     CHECK(relay->runUntil([&] { return endpoint.connections()[0]->isClosedByPeer(); }));
 }
 
-TEST(WholeAnswerCall, AnswersAtTheRoutesTimeoutWithoutAPromise)
+TEST(BufferedCall, AnswersAtTheRoutesTimeoutWithoutAPromise)
 {
     relay->addEndpoint("e1");
     ready();
@@ -270,7 +270,7 @@
     STRCMP_EQUAL("unknown", caller->header("Lupinknot-Outcome").c_str());
 }
 
-TEST(WholeAnswerCall, AnEndpointThatHasBeenReplacedIsAskedNoMore)
+TEST(BufferedCall, AnEndpointThatHasBeenReplacedIsAskedNoMore)
 {
     auto& old = relay->addEndpoint("e1");
     old.onRequest(
@@ -283,7 +283,7 @@
     LONGS_EQUAL_TEXT(1, old.requests().size(), "a call that waits for a place must not ask it again");
 }
 
-TEST(WholeAnswerCall, SettingsThatChangeHoldForTheNextRequest)
+TEST(BufferedCall, SettingsThatChangeHoldForTheNextRequest)
 {
     relay->settings.retryRatio = 0;
     relay->settings.retrySlack = 0;
@@ -306,7 +306,7 @@
 
 // Found by incident inc-dfd8 of savinja-knot: a VM of a zone that was cut off spent its retries on endpoints that it
 // could not connect to, and then refused calls for want of retries.
-TEST(WholeAnswerCall, AnAttemptThatReachedNoEndpointCostsNoRetry)
+TEST(BufferedCall, AnAttemptThatReachedNoEndpointCostsNoRetry)
 {
     relay->settings.retryRatio = 0;
     relay->settings.retrySlack = 0;
--- a/test/ZoneReadersTest.cpp
+++ b/test/ZoneReadersTest.cpp
@@ -46,7 +46,7 @@
 {
     ZoneReaders readers(clock, { "a9", "a", {}, 10 });
     readers.setOthers(others());
-    readers.avoid("a2");
+    readers.skipUnreachableReader("a2");
     CHECK_FALSE_TEXT(readers.current().has_value(), "right after a failure a VM reads the store itself");
     clock.advance(Milliseconds { 2000 });
     STRCMP_EQUAL("a3", readers.current()->name.c_str());
@@ -58,9 +58,9 @@
 {
     ZoneReaders readers(clock, { "a9", "a", {}, 10 });
     readers.setOthers(others());
-    readers.passOver("a2");
+    readers.skipReader("a2");
     STRCMP_EQUAL("a3", readers.current()->name.c_str());
-    readers.passOver("a3");
+    readers.skipReader("a3");
     STRCMP_EQUAL("a1", readers.current()->name.c_str());
     clock.advance(Milliseconds { 6001 });
     STRCMP_EQUAL("a2", readers.current()->name.c_str());
@@ -87,7 +87,7 @@
             const auto reader = readers.current();
             asksTheStore = asksTheStore || !reader;
             if (reader)
-                readers.passOver(reader->name);
+                readers.skipReader(reader->name);
         }
         askTheStore += asksTheStore ? 1 : 0;
     }
@@ -102,7 +102,7 @@
     vms.push_back({ "a6", "a", {}, 10 });
     readers.setOthers(vms);
     STRCMP_EQUAL("a2", readers.current()->name.c_str());
-    readers.avoid("a2");
+    readers.skipUnreachableReader("a2");
     clock.advance(Milliseconds { 2000 });
     CHECK_FALSE_TEXT(readers.current().has_value(), "a3 is the first by rank now and reads the store");
 }
@@ -111,7 +111,7 @@
 {
     ZoneReaders readers(clock, { "a0", "a", {}, 200 });
     readers.setOthers(others());
-    readers.avoidSelf();
+    readers.skipSelf();
     STRCMP_EQUAL("a2", readers.current()->name.c_str());
     clock.advance(Milliseconds { 7000 });
     CHECK_FALSE_TEXT(readers.current().has_value(), "the first by rank is to be found again once the store answers");
