--- a/bench/DetectorStudy.cpp
+++ b/bench/DetectorStudy.cpp
@@ -1,7 +1,7 @@
-// Compares the silence detectors on gaps with the stand-in engine's noise, without any waiting: the gaps are drawn.
+// Compares the silence detectors on simulated gaps between tokens that have the stand-in engine's noise.
 //
-// For each detector it prints how often a sound endpoint is suspected (false alarms) and how long a caller waits for a
-// dead one. The seed is fixed, so every run prints the same table. docs/DETECTORS.md keeps it.
+// For each detector it prints how often a healthy endpoint is suspected (false alarms) and how long a caller waits
+// until a dead one is. The seed is fixed, so each run prints the same table, which docs/DETECTORS.md contains.
 
 #include "lupinknot/SilenceDetector.h"
 #include "standin/EngineStandInSettings.h"
@@ -18,7 +18,7 @@
 using lupinknot::internal::EngineStandInSettings;
 
 constexpr std::size_t generationCount = 4000;
-constexpr std::size_t tokensEach = 200;
+constexpr std::size_t tokensPerGeneration = 200;
 constexpr std::uint64_t seed = 42;
 
 struct Noise {
@@ -32,9 +32,9 @@
     SilenceBounds bounds;
 };
 
-struct Finding {
-    double falseAlarmPart { 0 };
-    // From the last token before the death to the suspicion, in milliseconds.
+struct StudyResult {
+    double falseAlarmShare { 0 };
+    // Milliseconds from the last token of a dead endpoint until it is suspected.
     double waitMedian { 0 };
     double waitHigh { 0 };
 };
@@ -49,8 +49,9 @@
     return Milliseconds { std::llround(gap) };
 }
 
-// Every generation runs to its end for the false alarms, and dies at a random token for the wait.
-Finding study(const Noise& noise, const Candidate& candidate)
+// Each generation is simulated to its end to count false alarms. The wait is taken at one random token, as if the
+// endpoint died there.
+StudyResult study(const Noise& noise, const Candidate& candidate)
 {
     std::mt19937_64 random(seed);
     const auto detector = makeSilenceDetector(candidate.kind, candidate.bounds);
@@ -58,9 +59,9 @@
     std::vector<double> waits;
     for (std::size_t generation = 0; generation < generationCount; ++generation) {
         bool isAlarmed = false;
-        const auto deathAt = random() % tokensEach;
-        for (std::size_t token = 0; token < tokensEach; ++token) {
-            if (token == deathAt)
+        const auto lastToken = random() % tokensPerGeneration;
+        for (std::size_t token = 0; token < tokensPerGeneration; ++token) {
+            if (token == lastToken)
                 waits.push_back(static_cast<double>(detector->silenceTimeout().count()));
             const auto gap = drawGap(noise.engine, random);
             isAlarmed = isAlarmed || gap >= detector->silenceTimeout();
@@ -114,7 +115,7 @@
                      "|\n|---|---|---|---|\n";
         for (const auto& candidate : candidates()) {
             const auto found = study(noise, candidate);
-            std::cout << "| " << candidate.name << " | " << found.falseAlarmPart * 100 << " % | " << found.waitMedian
+            std::cout << "| " << candidate.name << " | " << found.falseAlarmShare * 100 << " % | " << found.waitMedian
                       << " ms | " << found.waitHigh << " ms |\n";
         }
     }
--- a/bench/LimitStudy.cpp
+++ b/bench/LimitStudy.cpp
@@ -1,6 +1,9 @@
-// Compares the ways in which VMs keep to an endpoint's limit that is meant for all of them, on simulated fleets.
+// Compares, on simulated fleets, how VMs can enforce an endpoint's limit that applies to all of them together.
 //
-//     LimitStudy [PLAYS]      # A table without trouble for each way, then so many plays with trouble of the kept way.
+//     LimitStudy [SCENARIOS]
+//
+// Prints a table without faults for each way of enforcement and one with faults for the way in use, then simulates this
+// many scenarios with faults (1,000 by default) and lists those that exceed the limit.
 #include "model/LimitModel.h"
 
 #include <algorithm>
@@ -16,11 +19,11 @@
 
 constexpr std::array<std::size_t, 4> vmCounts { 3, 7, 88, 300 };
 constexpr std::array<double, 5> limits { 0.2, 1, 2.3, 20, 200 };
-constexpr std::uint64_t seedsOfACell = 5;
+constexpr std::uint64_t seedsPerCell = 5;
 
-void printWay(LimitWay way, bool hasTrouble)
+void printTable(LimitWay way, bool hasTrouble)
 {
-    std::printf("\n%s, %s trouble: worst four seconds as a share of what is allowed / use / calls a second\n",
+    std::printf("\n%s, %s faults: worst four seconds as a share of the allowed requests / use / calls a second\n",
         std::string(nameIn(limitWayNames, way)).c_str(), hasTrouble ? "with" : "without");
     std::printf("%8s %10s", "a second", "demand");
     for (const auto vms : vmCounts)
@@ -31,7 +34,7 @@
             std::printf("%8.1f %10s", limit, isUneven ? "uneven" : "even");
             for (const auto vms : vmCounts) {
                 LimitOutcome sum;
-                for (std::uint64_t seed = 1; seed <= seedsOfACell; ++seed) {
+                for (std::uint64_t seed = 1; seed <= seedsPerCell; ++seed) {
                     const auto outcome = playLimit({ .way = way,
                         .vmCount = vms,
                         .perSecond = limit,
@@ -39,8 +42,8 @@
                         .hasTrouble = hasTrouble,
                         .seed = seed });
                     sum.worstShare = std::max(sum.worstShare, outcome.worstShare);
-                    sum.use += outcome.use / seedsOfACell;
-                    sum.callsPerSecond += outcome.callsPerSecond / seedsOfACell;
+                    sum.use += outcome.use / seedsPerCell;
+                    sum.callsPerSecond += outcome.callsPerSecond / seedsPerCell;
                 }
                 std::printf("  %5.2f %5.2f %8.1f", sum.worstShare, sum.use, sum.callsPerSecond);
             }
@@ -49,7 +52,7 @@
     }
 }
 
-void playMany(std::uint64_t count)
+void simulateMany(std::uint64_t count)
 {
     std::uint64_t broken = 0;
     double worst = 0;
@@ -61,11 +64,11 @@
         worst = std::max(worst, outcome.worstShare);
         if (outcome.worstExcess > 0) {
             ++broken;
-            std::printf(
-                "seed %llu: %.1f beyond what is allowed\n", static_cast<unsigned long long>(seed), outcome.worstExcess);
+            std::printf("seed %llu: %.1f requests more than allowed\n", static_cast<unsigned long long>(seed),
+                outcome.worstExcess);
         }
     }
-    std::printf("%llu plays with trouble: %llu over the bound, the worst four seconds %.2f of it\n",
+    std::printf("%llu scenarios with faults: %llu over the bound, the worst four seconds %.2f of it\n",
         static_cast<unsigned long long>(count), static_cast<unsigned long long>(broken), worst);
 }
 
@@ -74,8 +77,8 @@
 int main(int argc, char** argv)
 {
     for (const auto way : { LimitWay::EvenShare, LimitWay::DemandShares, LimitWay::OneCounts, LimitWay::BackOff })
-        printWay(way, false);
-    printWay(LimitWay::OneCounts, true);
-    playMany(argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1000);
+        printTable(way, false);
+    printTable(LimitWay::OneCounts, true);
+    simulateMany(argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1000);
     return 0;
 }
--- a/bench/RelayBenchmark.cpp
+++ b/bench/RelayBenchmark.cpp
@@ -1,7 +1,7 @@
-// Processor time of one relayed token: the daemon against a bare pass-through made of the same libraries.
+// Measures the processor time of a relayed token: the daemon against a plain proxy that uses the same libraries.
 //
-// Both stand between the same engine and the same callers, in this one process; a third run without anything between
-// gives what engine and callers cost themselves. `--benchmark_format=json` and scripts/bench compare the difference.
+// Both relay between the same engine and the same callers in this process. A third run without a relay gives the cost
+// of engine and callers, which scripts/bench subtracts from both (with `--benchmark_format=json`).
 
 #include "common/Log.h"
 #include "daemon/Daemon.h"
@@ -23,7 +23,7 @@
 using namespace lupinknot::internal;
 
 constexpr std::size_t streams = 32;
-constexpr std::size_t tokensEach = 200;
+constexpr std::size_t tokensPerStream = 200;
 constexpr unsigned callThreads = 8;
 
 EngineStandInSettings engineSettings()
@@ -34,7 +34,7 @@
     return settings;
 }
 
-// Passes bytes on as they come, and looks at none of them.
+// Forwards bytes as they arrive, without parsing them.
 class BareRelay final : public HttpCallListener, public HttpBodySource, public std::enable_shared_from_this<BareRelay> {
 public:
     explicit BareRelay(std::shared_ptr<HttpExchange> exchange)
@@ -111,7 +111,7 @@
     std::vector<std::thread> m_threads;
 };
 
-// Counts what comes back and looks no closer, so that the callers cost the same in every run.
+// Waits for the end of the response and ignores its content, so that the callers cost the same in each run.
 class CountingListener final : public HttpCallListener {
 public:
     void headerArrived(unsigned, const HttpHeaders&) override { }
@@ -131,7 +131,7 @@
         std::vector<std::shared_ptr<CountingListener>> listeners;
         for (std::size_t i = 0; i < streams; ++i) {
             const auto body = R"({"model":"story","prompt":[)" + std::to_string(i + 1) + R"(],"max_tokens":)"
-                + std::to_string(tokensEach) + R"(,"stream":true})";
+                + std::to_string(tokensPerStream) + R"(,"stream":true})";
             listeners.push_back(std::make_shared<CountingListener>());
             HttpCall::start({ "127.0.0.1", port },
                 { "POST", "/v1/completions", { { "Content-Type", "application/json" } }, body }, Milliseconds { 60000 },
@@ -141,7 +141,7 @@
             listener->wait();
     }
     state.SetItemsProcessed(
-        static_cast<std::int64_t>(static_cast<std::size_t>(state.iterations()) * streams * tokensEach));
+        static_cast<std::int64_t>(static_cast<std::size_t>(state.iterations()) * streams * tokensPerStream));
 }
 
 void direct(benchmark::State& state)
