--- a/bench/LimitStudy.cpp
+++ b/bench/LimitStudy.cpp
@@ -21,10 +21,10 @@
 constexpr std::array<double, 5> limits { 0.2, 1, 2.3, 20, 200 };
 constexpr std::uint64_t seedsPerCell = 5;
 
-void printTable(LimitWay way, bool hasTrouble)
+void printTable(LimitEnforcement way, bool hasFaults)
 {
     std::printf("\n%s, %s faults: worst four seconds as a share of the allowed requests / use / calls a second\n",
-        std::string(nameIn(limitWayNames, way)).c_str(), hasTrouble ? "with" : "without");
+        std::string(nameIn(limitEnforcementNames, way)).c_str(), hasFaults ? "with" : "without");
     std::printf("%8s %10s", "a second", "demand");
     for (const auto vms : vmCounts)
         std::printf("  %8zu VMs        ", vms);
@@ -35,11 +35,11 @@
             for (const auto vms : vmCounts) {
                 LimitOutcome sum;
                 for (std::uint64_t seed = 1; seed <= seedsPerCell; ++seed) {
-                    const auto outcome = playLimit({ .way = way,
+                    const auto outcome = simulateLimit({ .way = way,
                         .vmCount = vms,
                         .perSecond = limit,
                         .isUneven = isUneven,
-                        .hasTrouble = hasTrouble,
+                        .hasFaults = hasFaults,
                         .seed = seed });
                     sum.worstShare = std::max(sum.worstShare, outcome.worstShare);
                     sum.use += outcome.use / seedsPerCell;
@@ -57,7 +57,7 @@
     std::uint64_t broken = 0;
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= count; ++seed) {
-        const auto outcome = playLimit({ .vmCount = vmCounts.at(seed % vmCounts.size()),
+        const auto outcome = simulateLimit({ .vmCount = vmCounts.at(seed % vmCounts.size()),
             .perSecond = limits.at(seed / vmCounts.size() % limits.size()),
             .isUneven = seed / 3 % 2 == 0,
             .seed = seed });
@@ -76,9 +76,10 @@
 
 int main(int argc, char** argv)
 {
-    for (const auto way : { LimitWay::EvenShare, LimitWay::DemandShares, LimitWay::OneCounts, LimitWay::BackOff })
+    for (const auto way : { LimitEnforcement::EvenShare, LimitEnforcement::DemandShares, LimitEnforcement::SingleKeeper,
+             LimitEnforcement::BackOff })
         printTable(way, false);
-    printTable(LimitWay::OneCounts, true);
+    printTable(LimitEnforcement::SingleKeeper, true);
     simulateMany(argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1000);
     return 0;
 }
--- a/bench/RetryBudgetStudy.cpp
+++ b/bench/RetryBudgetStudy.cpp
@@ -16,7 +16,7 @@
 {
     const std::uint64_t scenarioCount = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 10000;
     const std::uint64_t first = argc > 2 ? std::strtoull(argv[2], nullptr, 10) : 1;
-    RetryPlays sequence;
+    RetryScenarios sequence;
     std::uint64_t exceeded = 0;
     double worst = -1e9;
     long retries = 0;
@@ -24,7 +24,7 @@
     for (auto scenario = sequence.next(); scenario.seed < first + scenarioCount; scenario = sequence.next()) {
         if (scenario.seed < first)
             continue;
-        const auto outcome = playRetries(scenario);
+        const auto outcome = simulateRetries(scenario);
         worst = std::max(worst, outcome.greatestExcess);
         retries += outcome.retries;
         denied += outcome.denied;
--- a/bench/RolloutStudy.cpp
+++ b/bench/RolloutStudy.cpp
@@ -32,12 +32,12 @@
     return values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
 }
 
-Row simulateRow(RolloutPlay scenario, int count, unsigned firstSeed)
+Row simulateRow(RolloutScenario scenario, int count, unsigned firstSeed)
 {
     Row row;
     for (int i = 0; i < count; ++i) {
         scenario.seed = firstSeed + static_cast<unsigned>(i);
-        const auto outcome = playRollout(scenario);
+        const auto outcome = simulateRollout(scenario);
         const bool isBad = isBadVersion(scenario.fault);
         row.undecided += outcome.decision == RolloutDecision::Undecided ? 1 : 0;
         row.wrong += outcome.decision == (isBad ? RolloutDecision::Completed : RolloutDecision::RolledBack) ? 1 : 0;
@@ -45,7 +45,7 @@
             ++row.broken;
             row.brokenSeed = scenario.seed;
         }
-        row.excess.push_back(100 * outcome.exposed / std::max(outcome.mostExposed, 1));
+        row.excess.push_back(100 * outcome.exposed / std::max(outcome.allowedExposure, 1));
         row.afterFifty.push_back(outcome.lastSentAfterFiftyBad.count());
         if (outcome.decision != RolloutDecision::Undecided)
             row.decidedAfter.push_back(outcome.decidedAfter.count());
@@ -64,7 +64,7 @@
         "exposed% p99", "after50 ms p99", "decided ms p50");
     for (const auto& fault : versionFaultNames) {
         for (const double rate : { 10.0, 46.0, 100.0, 400.0, 1500.0 }) {
-            RolloutPlay scenario { .vmCount = vmCount, .requestsPerSecond = rate, .fault = fault.value };
+            RolloutScenario scenario { .vmCount = vmCount, .requestsPerSecond = rate, .fault = fault.value };
             if (scenario.fault == VersionFault::FlakyBothSides)
                 scenario.usualBadShare = 0.15;
             const auto row = simulateRow(scenario, count, firstSeed);
--- a/src/load/GenerationCaller.cpp
+++ b/src/load/GenerationCaller.cpp
@@ -48,7 +48,7 @@
     }
     m_result.missing = m_options.maxTokens - std::min(m_options.maxTokens, m_result.delivered);
     const bool isExact = !m_result.missing && !m_result.repeated && !m_result.mixed;
-    m_result.isWhole = isExact && m_hasFinish && m_hasDone;
+    m_result.isComplete = isExact && m_hasFinish && m_hasDone;
     m_call.reset();
     return m_result;
 }
@@ -173,7 +173,7 @@
     m_reconnectedAt.reset();
     if (m_options.onToken)
         m_options.onToken(m_result.delivered - 1, token);
-    if (m_options.leaveAfter == m_result.delivered) {
+    if (m_options.disconnectAfter == m_result.delivered) {
         m_result.hasDisconnected = true;
         m_call->cancel();
     }
--- a/src/load/GenerationCaller.h
+++ b/src/load/GenerationCaller.h
@@ -27,7 +27,7 @@
     bool repeatable { true };
     std::size_t firstDaemon { 0 };
     // The caller disconnects after this many tokens.
-    std::optional<std::size_t> leaveAfter;
+    std::optional<std::size_t> disconnectAfter;
     // Called for each token, for example to print it.
     std::function<void(std::size_t position, const Token&)> onToken;
 };
--- a/src/load/GenerationResult.h
+++ b/src/load/GenerationResult.h
@@ -13,7 +13,7 @@
     std::size_t daemon { 0 };
     unsigned status { 0 };
     // All expected tokens and the finish event arrived, and nothing else.
-    bool isWhole { false };
+    bool isComplete { false };
     std::size_t delivered { 0 };
     std::size_t missing { 0 };
     std::size_t repeated { 0 };
--- a/src/load/Scenario.cpp
+++ b/src/load/Scenario.cpp
@@ -76,7 +76,7 @@
         killer.join();
     beside.join();
     std::cerr << "\n\n"
-              << (result.isWhole ? "The output is complete: " : "THE OUTPUT IS INCOMPLETE OR WRONG: ")
+              << (result.isComplete ? "The output is complete: " : "THE OUTPUT IS INCOMPLETE OR WRONG: ")
               << result.delivered << " tokens received.\n";
 }
 
@@ -109,7 +109,7 @@
     const auto adapt = [](GenerationCallerOptions& caller, std::size_t index) {
         if (index % 3)
             return;
-        caller.leaveAfter = caller.maxTokens / 3;
+        caller.disconnectAfter = caller.maxTokens / 3;
         caller.idempotencyKey.clear();
     };
     run.runGenerations(run.options().generations, adapt);
--- a/src/model/LimitModel.cpp
+++ b/src/model/LimitModel.cpp
@@ -79,7 +79,7 @@
 
 class LimitSimulation {
 public:
-    explicit LimitSimulation(const LimitPlay&);
+    explicit LimitSimulation(const LimitScenario&);
     LimitOutcome run();
 
 private:
@@ -124,7 +124,7 @@
     void evaluateBound(LimitOutcome&) const;
     void evaluateUse(LimitOutcome&) const;
 
-    const LimitPlay m_scenario;
+    const LimitScenario m_scenario;
     std::mt19937_64 m_random;
     Milliseconds m_now { 0 };
     std::uint64_t m_order { 0 };
@@ -140,7 +140,7 @@
     std::uint64_t m_calls { 0 };
 };
 
-LimitSimulation::LimitSimulation(const LimitPlay& scenario)
+LimitSimulation::LimitSimulation(const LimitScenario& scenario)
     : m_scenario(scenario)
     , m_random(scenario.seed)
     , m_requestsPerSecond(std::max(scenario.demand * scenario.perSecond, minRequestsPerSecond))
@@ -155,7 +155,7 @@
     for (std::size_t i = 0; i < scenario.vmCount; ++i)
         m_vms.push_back(newVm(i));
     drawLimits();
-    if (scenario.hasTrouble)
+    if (scenario.hasFaults)
         scheduleFaults();
 }
 
@@ -171,7 +171,7 @@
 {
     m_spans.push_back({ Milliseconds { 0 }, std::nullopt, 0 });
     m_spans.push_back({ limitStartsAt, m_scenario.perSecond, 0 });
-    if (!m_scenario.hasTrouble)
+    if (!m_scenario.hasFaults)
         return;
     constexpr std::array<double, 4> factors { 0.3, 2, 0, 1 };
     unsigned start = 0;
@@ -240,7 +240,7 @@
 LimitOutcome LimitSimulation::run()
 {
     scheduleNextRequest();
-    if (m_scenario.way == LimitWay::DemandShares)
+    if (m_scenario.way == LimitEnforcement::DemandShares)
         exchangeDemand();
     while (!m_events.empty() && m_events.top().at < simulatedTime) {
         const auto event = m_events.top();
@@ -269,11 +269,11 @@
     auto& vm = m_vms[number];
     if (!vm.isUp || m_now < vm.pausedUntil)
         return;
-    if (m_scenario.way == LimitWay::DemandShares)
+    if (m_scenario.way == LimitEnforcement::DemandShares)
         vm.requests.push_back(m_now);
     if (!knownLimit(vm))
         send(number);
-    else if (m_scenario.way != LimitWay::OneCounts)
+    else if (m_scenario.way != LimitEnforcement::SingleKeeper)
         sendBySchedule(number);
     else if (m_now < vm.noPermitUntil)
         refused(number);
@@ -290,7 +290,7 @@
 
 double LimitSimulation::shareAt(std::size_t number, std::size_t rank)
 {
-    if (m_scenario.planted == PlantedLimitFault::WholeSubstitutes)
+    if (m_scenario.injectedFault == InjectedLimitFault::SubstituteIssuesWholeLimit)
         return LimitKeeper::primaryShare;
     auto& vm = m_vms[number];
     if (vm.incarnation > 0 && m_now < vm.startedAt + KeeperReachability::presumedGoneAfter)
@@ -316,7 +316,7 @@
     const PermitRequest request { endpointName(number), report,
         randomUnit() < 0.5 ? sendSlotTimeout : Milliseconds { 0 } };
     const auto incarnation = vm.incarnation;
-    if (m_scenario.planted == PlantedLimitFault::EachCounts) {
+    if (m_scenario.injectedFault == InjectedLimitFault::EachVmUsesWholeLimit) {
         handlePermitAnswer(number, incarnation, vm.keeper.ask(request, LimitKeeper::primaryShare, m_now));
         return;
     }
@@ -383,9 +383,9 @@
     auto& vm = m_vms[number];
     const auto limit = *knownLimit(vm);
     double rate = limit / static_cast<double>(m_scenario.vmCount);
-    if (m_scenario.way == LimitWay::DemandShares)
+    if (m_scenario.way == LimitEnforcement::DemandShares)
         rate = limit * vm.requestShare;
-    if (m_scenario.way == LimitWay::BackOff) {
+    if (m_scenario.way == LimitEnforcement::BackOff) {
         if (vm.ownRate <= 0)
             vm.ownRate = limit / 2;
         vm.ownRate = std::min(vm.ownRate, limit);
@@ -439,7 +439,7 @@
         m_arrivals.push_back({ m_now, number, isKept, isKept && m_now >= sender.affectedUntil });
         const auto isOld = [this](const Arrival& arrival) { return m_now - arrival.at >= Milliseconds { 1000 }; };
         const auto recent = std::find_if(m_arrivals.rbegin(), m_arrivals.rend(), isOld) - m_arrivals.rbegin();
-        const bool isRejected = m_scenario.way == LimitWay::BackOff && span.perSecond
+        const bool isRejected = m_scenario.way == LimitEnforcement::BackOff && span.perSecond
             && static_cast<double>(recent) > std::max(*span.perSecond, 1.0);
         after(responseTime, [this, number, incarnation, sentAt, span, isRejected] {
             handleResponse(number, incarnation, sentAt, span, isRejected);
@@ -459,15 +459,15 @@
         });
         return;
     }
-    const bool isIgnored
-        = m_scenario.planted == PlantedLimitFault::KeepsOldLimit && vm.limit.perSecond() && stated.perSecond;
+    const bool isIgnored = m_scenario.injectedFault == InjectedLimitFault::IgnoresChangedLimit && vm.limit.perSecond()
+        && stated.perSecond;
     const auto change = isIgnored ? LimitChange::None : vm.limit.noteAnswer(stated.perSecond, sentAt, m_now);
     if (stated.perSecond)
         vm.limitKnownAt = vm.limitKnownAt.value_or(m_now);
     else
         vm.limitKnownAt.reset();
     vm.ownRate = isRejected ? vm.ownRate / 2 : vm.ownRate * 1.05;
-    if (change == LimitChange::None || m_scenario.way != LimitWay::OneCounts)
+    if (change == LimitChange::None || m_scenario.way != LimitEnforcement::SingleKeeper)
         return;
     for (const auto keeper : m_keepers) {
         m_calls += keeper != number;
@@ -543,6 +543,6 @@
 
 } // namespace
 
-LimitOutcome playLimit(const LimitPlay& scenario) { return LimitSimulation(scenario).run(); }
+LimitOutcome simulateLimit(const LimitScenario& scenario) { return LimitSimulation(scenario).run(); }
 
 } // namespace lupinknot::internal
--- a/src/model/LimitModel.h
+++ b/src/model/LimitModel.h
@@ -1,7 +1,7 @@
 // Discrete-event simulation of one rate-limited endpoint and the VMs that send requests to it; seeded.
 //
-//     const auto outcome = playLimit({ .way = LimitWay::OneCounts, .vmCount = 88, .perSecond = 2.3, .seed = 7 });
-//     if (outcome.worstExcess > 0) ...
+//     const auto outcome = simulateLimit({ .way = LimitEnforcement::SingleKeeper, .vmCount = 88, .perSecond = 2.3,
+//     .seed = 7 }); if (outcome.worstExcess > 0) ...
 //
 // The simulation runs the decision code of lupinknot-entry (src/limits). Calls between VMs take 1 to 4 ms and fail when
 // a VM is killed, paused or disconnected.
@@ -18,30 +18,30 @@
 namespace lupinknot::internal {
 
 // How VMs enforce a limit that applies to the sum of their requests.
-enum class LimitWay {
+enum class LimitEnforcement {
     EvenShare, // Each VM may use an equal share of the limit.
     DemandShares, // Each VM may use a share proportional to its requests; VMs exchange the counts twice a second.
-    OneCounts, // One VM, the limit keeper, issues the permits for all VMs.
+    SingleKeeper, // One VM, the limit keeper, issues the permits for all VMs.
     BackOff, // VMs do not communicate; each halves its rate on a rejection and raises it slowly.
 };
 
-inline constexpr std::array<EnumName<LimitWay>, 4> limitWayNames { {
-    { LimitWay::EvenShare, "even share" },
-    { LimitWay::DemandShares, "shares by demand" },
-    { LimitWay::OneCounts, "one VM counts" },
-    { LimitWay::BackOff, "back off" },
+inline constexpr std::array<EnumName<LimitEnforcement>, 4> limitEnforcementNames { {
+    { LimitEnforcement::EvenShare, "even share" },
+    { LimitEnforcement::DemandShares, "shares by demand" },
+    { LimitEnforcement::SingleKeeper, "one VM counts" },
+    { LimitEnforcement::BackOff, "back off" },
 } };
 
 // Faults injected into the VMs to prove that the check detects them.
-enum class PlantedLimitFault {
+enum class InjectedLimitFault {
     None,
-    WholeSubstitutes, // A substitute limit keeper issues permits for the whole limit at once.
-    KeepsOldLimit, // A VM ignores a changed limit.
-    EachCounts, // Each VM applies the whole limit to its own requests.
+    SubstituteIssuesWholeLimit, // A substitute limit keeper issues permits for the whole limit at once.
+    IgnoresChangedLimit, // A VM ignores a changed limit.
+    EachVmUsesWholeLimit, // Each VM applies the whole limit to its own requests.
 };
 
-struct LimitPlay {
-    LimitWay way { LimitWay::OneCounts };
+struct LimitScenario {
+    LimitEnforcement way { LimitEnforcement::SingleKeeper };
     std::size_t vmCount { 7 };
     double perSecond { 1 };
     // Requests per second of all VMs, as a multiple of the limit; the model has a minimum rate.
@@ -49,8 +49,8 @@
     // One VM receives nine tenths of the requests.
     bool isUneven { false };
     // Kills, pauses and disconnects VMs, and lowers, raises, removes and restores the limit.
-    bool hasTrouble { true };
-    PlantedLimitFault planted { PlantedLimitFault::None };
+    bool hasFaults { true };
+    InjectedLimitFault injectedFault { InjectedLimitFault::None };
     std::uint64_t seed { 1 };
 };
 
@@ -65,6 +65,6 @@
     double callsPerSecond { 0 };
 };
 
-LimitOutcome playLimit(const LimitPlay&);
+LimitOutcome simulateLimit(const LimitScenario&);
 
 } // namespace lupinknot::internal
--- a/src/model/RetryModel.cpp
+++ b/src/model/RetryModel.cpp
@@ -48,7 +48,7 @@
 
 class Fleet {
 public:
-    explicit Fleet(const RetryPlay& scenario)
+    explicit Fleet(const RetryScenario& scenario)
         : m_scenario(scenario)
         , m_random(static_cast<std::mt19937::result_type>(scenario.seed))
     {
@@ -129,7 +129,7 @@
     void send(SimulatedVm& vm, Milliseconds requestedAt, int second)
     {
         const auto rejectionChance
-            = isStoreUnresponsive(second) ? m_scenario.turnedAwayWhileSilent : m_scenario.turnedAwayShare;
+            = isStoreUnresponsive(second) ? m_scenario.rejectedShareWhileStoreSilent : m_scenario.rejectedShare;
         while (chance() < rejectionChance) {
             if (!retry(vm, RetryPurpose::Failover, requestedAt))
                 return;
@@ -181,7 +181,7 @@
         }
     }
 
-    const RetryPlay m_scenario;
+    const RetryScenario m_scenario;
     std::mt19937 m_random;
     std::deque<SimulatedVm> m_vms;
     std::vector<int> m_requests;
@@ -192,25 +192,25 @@
 
 } // namespace
 
-RetryOutcome playRetries(const RetryPlay& scenario)
+RetryOutcome simulateRetries(const RetryScenario& scenario)
 {
     Fleet fleet(scenario);
     fleet.run();
     return { fleet.greatestExcess(), fleet.retries(), fleet.denied() };
 }
 
-RetryPlay RetryPlays::next()
+RetryScenario RetryScenarios::next()
 {
     const auto between
         = [this](double least, double most) { return std::uniform_real_distribution<double>(least, most)(m_random); };
     const auto seed = ++m_seed;
-    RetryPlay scenario { .seed = seed };
+    RetryScenario scenario { .seed = seed };
     scenario.vmCount = static_cast<int>(between(6, 340));
     scenario.requestsPerSecond = between(5, 300);
     scenario.runSeconds = between(2, 12);
     scenario.lossEverySeconds = static_cast<int>(between(2, 9));
-    scenario.turnedAwayShare = between(0, 0.6);
-    scenario.turnedAwayWhileSilent = between(0.2, 0.9);
+    scenario.rejectedShare = between(0, 0.6);
+    scenario.rejectedShareWhileStoreSilent = between(0.2, 0.9);
     scenario.movedShare = between(0, 1);
     scenario.restartShare = seed % 2 ? between(0, 1) : 0;
     scenario.restartEverySeconds = static_cast<int>(between(3, 12));
--- a/src/model/RetryModel.h
+++ b/src/model/RetryModel.h
@@ -4,7 +4,7 @@
 // another name reject requests, VMs restart, and callers move between zones. Each VM retries as often as its budget
 // allows.
 //
-//     const auto outcome = playRetries({ .seed = 26, .vmCount = 305 });
+//     const auto outcome = simulateRetries({ .seed = 26, .vmCount = 305 });
 //     if (outcome.greatestExcess > 0) ...          // The fleet exceeded the budget in some window.
 //
 // A pure function of its arguments.
@@ -16,7 +16,7 @@
 namespace lupinknot::internal {
 
 // Parameters of one simulation.
-struct RetryPlay {
+struct RetryScenario {
     std::uint64_t seed { 1 };
     int vmCount { 90 };
     // All VMs together.
@@ -27,9 +27,9 @@
     double lossShare { 0.95 };
     int lossEverySeconds { 6 };
     // Share of the send attempts that an engine rejects; the VM may retry a rejected request at once.
-    double turnedAwayShare { 0.1 };
+    double rejectedShare { 0.1 };
     // The same while the store does not respond and VMs do not know the new names of restarted engines.
-    double turnedAwayWhileSilent { 0.4 };
+    double rejectedShareWhileStoreSilent { 0.4 };
     int silentFromSecond { 18 };
     int silentToSecond { 26 };
     // Share of all runs that VMs try to move preemptively after each zone failure.
@@ -51,13 +51,13 @@
     int denied { 0 };
 };
 
-RetryOutcome playRetries(const RetryPlay&);
+RetryOutcome simulateRetries(const RetryScenario&);
 
 // A reproducible sequence of simulation parameters: fleets of 6 to 340 VMs with varied loads and faults.
-class RetryPlays {
+class RetryScenarios {
 public:
     // The seeds are 1, 2, 3, ...
-    RetryPlay next();
+    RetryScenario next();
 
 private:
     std::uint64_t m_seed { 0 };
--- a/src/model/RolloutModel.cpp
+++ b/src/model/RolloutModel.cpp
@@ -51,7 +51,7 @@
 
 class RolloutFleet {
 public:
-    explicit RolloutFleet(const RolloutPlay& scenario)
+    explicit RolloutFleet(const RolloutScenario& scenario)
         : m_scenario(scenario)
         , m_random(scenario.seed)
         , m_order { "s", "v2", scenario.duration, 1 }
@@ -60,11 +60,11 @@
         for (std::size_t i = 0; i < m_vms.size(); ++i)
             m_vms[i].name = "vm-" + std::to_string(i);
         const auto whole = static_cast<int>(m_scenario.duration / step);
-        if (m_scenario.hasTrouble && chance(0.4)) {
+        if (m_scenario.hasFaults && chance(0.4)) {
             m_storeUnreachableFrom = m_orderStep + randomBelow(whole);
             m_storeUnreachableUntil = m_storeUnreachableFrom + randomBelow(60);
         }
-        m_callLossShare = m_scenario.hasTrouble ? 0.1 * randomUnit() : 0;
+        m_callLossShare = m_scenario.hasFaults ? 0.1 * randomUnit() : 0;
     }
 
     RolloutOutcome run()
@@ -88,7 +88,10 @@
     double randomUnit() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
     bool chance(double share) { return randomUnit() < share; }
     int randomBelow(int below) { return std::uniform_int_distribution<int>(0, std::max(below - 1, 0))(m_random); }
-    bool isIsolated(std::size_t vm) const { return m_scenario.planted == PlantedFault::LateVmGoesOn && vm % 2 == 1; }
+    bool isIsolated(std::size_t vm) const
+    {
+        return m_scenario.injectedFault == InjectedRolloutFault::IsolatedVmKeepsTrying && vm % 2 == 1;
+    }
     bool isStoreUnreachable() const { return m_step >= m_storeUnreachableFrom && m_step < m_storeUnreachableUntil; }
     bool isUnavailable(const ModelVm& vm) const { return m_step < vm.unavailableUntil; }
     bool isDisconnected(const ModelVm& vm) const { return m_step < vm.disconnectedUntil; }
@@ -96,7 +99,7 @@
 
     void injectFaults()
     {
-        if (!m_scenario.hasTrouble)
+        if (!m_scenario.hasFaults)
             return;
         for (auto& vm : m_vms) {
             // Hits a few percent of the VMs within the order's duration, aggregators as often as other VMs.
@@ -140,7 +143,7 @@
             if (vm.rollout || isUnavailable(vm) || isDisconnected(vm)
                 || (isStoreUnreachable() && m_step > m_storeUnreachableFrom) || !chance(0.8))
                 continue;
-            const bool isUndivided = m_scenario.planted == PlantedFault::UndividedBudget;
+            const bool isUndivided = m_scenario.injectedFault == InjectedRolloutFault::UndividedBudget;
             const auto share = vm.hasBeenKilled ? 0.0 : isUndivided ? 1.0 : 1.0 / m_scenario.vmCount;
             vm.rollout = std::make_unique<Rollout>(m_order, RolloutParameters { limit, share, vm.name });
             if (i < aggregatorCount)
@@ -249,7 +252,8 @@
             const auto dueDecision = vm.aggregator->dueDecision(now());
             if (!dueDecision || m_decision == *dueDecision)
                 continue;
-            if (m_decision != RolloutDecision::Undecided && m_scenario.planted != PlantedFault::DecisionTurns)
+            if (m_decision != RolloutDecision::Undecided
+                && m_scenario.injectedFault != InjectedRolloutFault::DecisionIsOverwritten)
                 continue;
             if (m_decision != RolloutDecision::Undecided)
                 violate("a recorded decision was overwritten by the opposite one");
@@ -281,20 +285,20 @@
         outcome.decision = m_decision;
         if (m_decision != RolloutDecision::Undecided)
             outcome.decidedAfter = m_decidedAt - orderAt;
-        outcome.mostExposed = static_cast<int>(limit.share * m_requests + limit.slack);
+        outcome.allowedExposure = static_cast<int>(limit.share * m_requests + limit.slack);
         if (!isBadVersion(m_scenario.fault))
             return;
         if (m_fiftyBadAt.count())
             outcome.lastSentAfterFiftyBad = std::max(m_lastSent - m_fiftyBadAt, Milliseconds { 0 });
         if (m_decision == RolloutDecision::Completed)
             return; // Counted as a wrong decision instead: no limit applies once all requests go to it.
-        if (outcome.exposed > outcome.mostExposed)
+        if (outcome.exposed > outcome.allowedExposure)
             violate("a bad version received more requests than the exposure limit allows");
         if (outcome.lastSentAfterFiftyBad > rollbackTimeLimit)
             violate("a bad version received requests for too long after its 50th bad response");
     }
 
-    const RolloutPlay m_scenario;
+    const RolloutScenario m_scenario;
     std::mt19937 m_random;
     const RolloutOrder m_order;
     std::vector<ModelVm> m_vms;
@@ -317,6 +321,6 @@
 
 bool isBadVersion(VersionFault fault) { return fault != VersionFault::None && fault != VersionFault::FlakyBothSides; }
 
-RolloutOutcome playRollout(const RolloutPlay& scenario) { return RolloutFleet(scenario).run(); }
+RolloutOutcome simulateRollout(const RolloutScenario& scenario) { return RolloutFleet(scenario).run(); }
 
 } // namespace lupinknot::internal
--- a/src/model/RolloutModel.h
+++ b/src/model/RolloutModel.h
@@ -1,7 +1,7 @@
 // Simulates rollouts on a fleet: VMs with callers, aggregators, the platform's store, and runners of a present and a
 // candidate version, in steps of 100 ms; seeded.
 //
-//     const auto outcome = playRollout({ .seed = 7, .fault = VersionFault::Fails });
+//     const auto outcome = simulateRollout({ .seed = 7, .fault = VersionFault::Fails });
 //     if (!outcome.violation.empty()) ...
 //
 // The simulation runs the decision code of lupinknot-entry (src/rollout). Calls between VMs take one step, may be lost,
@@ -37,15 +37,15 @@
 } };
 
 // Faults injected into the fleet to prove that the checks detect them.
-enum class PlantedFault {
+enum class InjectedRolloutFault {
     None,
     UndividedBudget, // Each VM uses the whole fixed part of the exposure limit instead of its share.
-    LateVmGoesOn, // Every second VM sends no evidence, receives no directives or decisions, and keeps trying the
-                  // candidate.
-    DecisionTurns, // The store's record of the decision is overwritten unconditionally.
+    IsolatedVmKeepsTrying, // Every second VM sends no evidence, receives no directives or decisions, and keeps trying
+                           // the candidate.
+    DecisionIsOverwritten, // The store's record of the decision is overwritten unconditionally.
 };
 
-struct RolloutPlay {
+struct RolloutScenario {
     unsigned seed { 1 };
     int vmCount { 90 };
     double requestsPerSecond { 100 };
@@ -58,8 +58,8 @@
     double failsFromSecond { 4 };
     Milliseconds duration { 12000 };
     // Randomly kills, pauses and disconnects VMs, loses calls, and makes the store unreachable.
-    bool hasTrouble { true };
-    PlantedFault planted { PlantedFault::None };
+    bool hasFaults { true };
+    InjectedRolloutFault injectedFault { InjectedRolloutFault::None };
 };
 
 struct RolloutOutcome {
@@ -69,7 +69,7 @@
     // Requests that connected VMs sent to the candidate within the order's duration, and the most that a bad candidate
     // may receive.
     int exposed { 0 };
-    int mostExposed { 0 };
+    int allowedExposure { 0 };
     // Time from the candidate's 50th bad response to the last request sent to it; 0 if it had fewer bad responses.
     Milliseconds lastSentAfterFiftyBad { 0 };
     // The first rule that was violated; empty if none was.
@@ -77,6 +77,6 @@
 };
 
 bool isBadVersion(VersionFault);
-RolloutOutcome playRollout(const RolloutPlay&);
+RolloutOutcome simulateRollout(const RolloutScenario&);
 
 } // namespace lupinknot::internal
--- a/test/DaemonTest.cpp
+++ b/test/DaemonTest.cpp
@@ -16,7 +16,7 @@
     const auto text = "status " + std::to_string(result.status) + ", delivered " + std::to_string(result.delivered)
         + ", repeated " + std::to_string(result.repeated) + ", mixed " + std::to_string(result.mixed) + ", error "
         + result.error;
-    CHECK_TEXT(result.isWhole, text.c_str());
+    CHECK_TEXT(result.isComplete, text.c_str());
 }
 
 std::string header(const HttpFetchResult& result, const char* name)
@@ -198,7 +198,7 @@
     cluster.start();
     auto caller = cluster.caller();
     caller.maxTokens = 2000;
-    caller.leaveAfter = 5;
+    caller.disconnectAfter = 5;
     cluster.run(caller);
     CHECK_TEXT(
         becomesTrue([this] { return cluster.engine(0).work().cancelled + cluster.engine(1).work().cancelled == 1; }),
@@ -209,7 +209,7 @@
 {
     cluster.start();
     auto disconnecting = cluster.caller("k");
-    disconnecting.leaveAfter = 5;
+    disconnecting.disconnectAfter = 5;
     cluster.run(disconnecting);
     checkComplete(cluster.run(cluster.caller("k")));
 }
@@ -219,7 +219,7 @@
     cluster.start();
     auto disconnecting = cluster.caller("k");
     disconnecting.repeatable = false;
-    disconnecting.leaveAfter = 5;
+    disconnecting.disconnectAfter = 5;
     cluster.run(disconnecting);
     auto returning = cluster.caller("k");
     returning.repeatable = false;
--- a/test/LimitModelTest.cpp
+++ b/test/LimitModelTest.cpp
@@ -21,7 +21,7 @@
     static constexpr std::array<std::size_t, 4> vmCounts { 3, 7, 88, 300 };
     static constexpr std::array<double, 5> limits { 0.2, 1, 2.3, 20, 200 };
 
-    static LimitPlay scenarioOf(std::uint64_t seed)
+    static LimitScenario scenarioOf(std::uint64_t seed)
     {
         return { .vmCount = vmCounts.at(seed % vmCounts.size()),
             .perSecond = limits.at(seed / vmCounts.size() % limits.size()),
@@ -31,18 +31,18 @@
 
     static void checkLimitKept(std::uint64_t seed)
     {
-        const auto outcome = playLimit(scenarioOf(seed));
+        const auto outcome = simulateLimit(scenarioOf(seed));
         CHECK_TEXT(outcome.worstExcess <= 0, ("seed " + std::to_string(seed)).c_str());
     }
 
     // The number of simulations in which the limit was exceeded.
-    static int countViolations(PlantedLimitFault planted, std::uint64_t count)
+    static int countViolations(InjectedLimitFault injectedFault, std::uint64_t count)
     {
         int violations = 0;
         for (std::uint64_t seed = 1; seed <= count; ++seed) {
             auto scenario = scenarioOf(seed);
-            scenario.planted = planted;
-            violations += playLimit(scenario).worstExcess > 0;
+            scenario.injectedFault = injectedFault;
+            violations += simulateLimit(scenario).worstExcess > 0;
         }
         return violations;
     }
@@ -62,7 +62,7 @@
     for (const auto vms : vmCounts) {
         for (const bool isUneven : { false, true }) {
             const auto outcome
-                = playLimit({ .vmCount = vms, .perSecond = 20, .isUneven = isUneven, .hasTrouble = false });
+                = simulateLimit({ .vmCount = vms, .perSecond = 20, .isUneven = isUneven, .hasFaults = false });
             CHECK_TEXT(outcome.use >= 0.9, std::to_string(outcome.use).c_str());
         }
     }
@@ -70,7 +70,7 @@
 
 TEST(LimitModel, DetectsInjectedFaults)
 {
-    for (const auto planted :
-        { PlantedLimitFault::WholeSubstitutes, PlantedLimitFault::KeepsOldLimit, PlantedLimitFault::EachCounts })
-        CHECK_TEXT(countViolations(planted, 200) > 0, std::to_string(static_cast<int>(planted)).c_str());
+    for (const auto injectedFault : { InjectedLimitFault::SubstituteIssuesWholeLimit,
+             InjectedLimitFault::IgnoresChangedLimit, InjectedLimitFault::EachVmUsesWholeLimit })
+        CHECK_TEXT(countViolations(injectedFault, 200) > 0, std::to_string(static_cast<int>(injectedFault)).c_str());
 }
--- a/test/RetryBudgetFleetTest.cpp
+++ b/test/RetryBudgetFleetTest.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-void checkStaysWithinBudget(const RetryPlay& play)
+void checkStaysWithinBudget(const RetryScenario& play)
 {
-    const auto outcome = playRetries(play);
+    const auto outcome = simulateRetries(play);
     const auto excess = static_cast<int>(outcome.greatestExcess);
     CHECK_TEXT(excess <= 0,
         StringFromFormat("seed %d, %d VMs: %d retries more than the budget allows in a window (%d sent, %d denied)",
@@ -40,7 +40,7 @@
 
 TEST(RetryBudgetFleet, StaysWithinTheBudgetForAnySizeAndLoad)
 {
-    RetryPlays plays;
+    RetryScenarios plays;
     for (auto play = plays.next(); play.seed <= seedsThatExceeded.back(); play = plays.next()) {
         if (play.seed <= 60 || std::count(seedsThatExceeded.begin(), seedsThatExceeded.end(), play.seed))
             checkStaysWithinBudget(play);
@@ -50,7 +50,7 @@
 // The budget must be usable: where losses are alike on all VMs, they spend most of it.
 TEST(RetryBudgetFleet, SpendsMostOfTheBudgetWhenLossesAffectAllVms)
 {
-    const auto outcome = playRetries({ .seed = 3, .turnedAwayShare = 0.7, .turnedAwayWhileSilent = 0.9 });
+    const auto outcome = simulateRetries({ .seed = 3, .rejectedShare = 0.7, .rejectedShareWhileStoreSilent = 0.9 });
     const auto left = static_cast<int>(-outcome.greatestExcess);
     CHECK_TEXT(left < 150,
         StringFromFormat("%d of about 520 retries in a window are unused, expected fewer than 150", left)
--- a/test/RolloutModelTest.cpp
+++ b/test/RolloutModelTest.cpp
@@ -18,12 +18,12 @@
     std::string violation;
 };
 
-Tally simulateAll(RolloutPlay scenario, int count, unsigned firstSeed = 1)
+Tally simulateAll(RolloutScenario scenario, int count, unsigned firstSeed = 1)
 {
     Tally tally;
     for (int i = 0; i < count; ++i) {
         scenario.seed = firstSeed + static_cast<unsigned>(i);
-        const auto outcome = playRollout(scenario);
+        const auto outcome = simulateRollout(scenario);
         const bool isBad = isBadVersion(scenario.fault);
         const auto right = isBad ? RolloutDecision::RolledBack : RolloutDecision::Completed;
         tally.right += outcome.decision == right ? 1 : 0;
@@ -77,7 +77,7 @@
     const auto tally = simulateAll({ .requestsPerSecond = 46,
                                        .fault = VersionFault::FailsLate,
                                        .failsFromSecond = 8,
-                                       .planted = PlantedFault::UndividedBudget },
+                                       .injectedFault = InjectedRolloutFault::UndividedBudget },
         simulationsPerCase);
     CHECK_TEXT(
         tally.violations > 0, "no simulation detected that each VM spends the whole fixed part of the exposure limit");
@@ -89,7 +89,7 @@
                                        .requestsPerSecond = 400,
                                        .fault = VersionFault::Fails,
                                        .badShare = 1,
-                                       .planted = PlantedFault::LateVmGoesOn },
+                                       .injectedFault = InjectedRolloutFault::IsolatedVmKeepsTrying },
         40);
     CHECK_TEXT(tally.violations > 0, "no simulation detected that isolated VMs keep trying the candidate");
 }
@@ -99,7 +99,7 @@
     const auto tally = simulateAll({ .requestsPerSecond = 100,
                                        .fault = VersionFault::FailsLate,
                                        .failsFromSecond = 10.5,
-                                       .planted = PlantedFault::DecisionTurns },
+                                       .injectedFault = InjectedRolloutFault::DecisionIsOverwritten },
         40);
     CHECK_TEXT(
         tally.violations > 0, "no simulation detected that the later of two aggregators overwrites the decision");
--- a/test/StoreHistoryTest.cpp
+++ b/test/StoreHistoryTest.cpp
@@ -99,10 +99,10 @@
     store->put("servers", "a", "1");
     for (const auto* const odd : { "", "-1", "x", "99999999999999999999999", "5000000" }) {
         RecordingFeed followed;
-        store->sayEra(std::nullopt);
+        store->overrideEra(std::nullopt);
         followed.follow(*ioContext, store->port(), "servers");
         CHECK(runUntil([&] { return followed.snapshots == 1; }));
-        store->sayEra(odd);
+        store->overrideEra(odd);
         store->put("servers", "a", odd);
         CHECK_TEXT(runUntil([&] { return followed.rows["a"] == odd; }), odd);
         LONGS_EQUAL_TEXT(1, followed.snapshots, odd);
--- a/test/VmLossTest.cpp
+++ b/test/VmLossTest.cpp
@@ -19,7 +19,7 @@
     const auto text = "status " + std::to_string(result.status) + ", delivered " + std::to_string(result.delivered)
         + ", repeated " + std::to_string(result.repeated) + ", mixed " + std::to_string(result.mixed) + ", outcome "
         + result.outcome + ", error " + result.error;
-    CHECK_TEXT(result.isWhole, text.c_str());
+    CHECK_TEXT(result.isComplete, text.c_str());
 }
 
 std::string header(const HttpFetchResult& result, const char* name)
