--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,4 +1,4 @@
-// lupinknotctl: the command-commandLine tool for operators.
+// lupinknotctl: the command-line tool for operators.
 
 #include "common/Version.h"
 #include "ctl/LossReport.h"
--- a/src/http/ClientConnection.h
+++ b/src/http/ClientConnection.h
@@ -5,8 +5,8 @@
 //
 //     auto connection = ClientConnection::open(ioContext, address, settings);
 //     connection->send(request, listener);     // Connects first if necessary.
-//     ...                                      // listener->responseHeaderReceived(), responseBodyReceived(),
-//     responseEnded() if (connection->isIdle()) ...            // May carry the next request.
+//     ...                                      // The listener receives the response's header, body and end.
+//     if (connection->isIdle()) ...            // May carry the next request.
 //
 // An idle connection keeps reading; it closes when the peer closes it or sends unsolicited bytes.
 // Not thread-safe: all calls and callbacks are made on the single thread that runs the io_context. Owned by its user
--- a/src/http/HttpRoundTrip.h
+++ b/src/http/HttpRoundTrip.h
@@ -1,7 +1,6 @@
 // One request on a client connection, with a timeout for the complete response.
 //
-//     auto roundTrip = HttpRoundTrip::ask(ioContext, connection, request, timeout, [](const HttpRoundTripResult&
-//     outcome) {
+//     auto roundTrip = HttpRoundTrip::ask(ioContext, connection, request, timeout, [](const auto& outcome) {
 //         if (outcome.answer) ...
 //     });
 //
--- a/src/http/JsonError.h
+++ b/src/http/JsonError.h
@@ -11,7 +11,7 @@
     unsigned status { 500 };
     // A stable identifier for programs.
     std::string code;
-    // A message for people: what was expected, what was received, what to do.
+    // Human-readable message: what was expected, what was received, what to do.
     std::string message;
     // The field or limit that caused the error; empty if there is none.
     std::string field;
--- a/src/settings/DaemonSettings.h
+++ b/src/settings/DaemonSettings.h
@@ -38,7 +38,7 @@
     std::int64_t maxTokens { 32768 };
     // Limit of the generations in memory, running or finished; further ones are refused.
     std::int64_t maxGenerations { 20000 };
-    // The retry delay that a refused caller is told.
+    // The retry delay in the response to a refused caller.
     Milliseconds retryAfter { 1000 };
 };
 
@@ -93,7 +93,7 @@
     // For a whole call, including its retries.
     Milliseconds deadline { 2000 };
     unsigned maxAttempts { 3 };
-    // Whether a call may be repeated if the caller does not say so in the request.
+    // Whether a call may be repeated if the request does not specify it.
     bool repeatable { false };
 };
 
--- a/src/settings/SettingsTables.h
+++ b/src/settings/SettingsTables.h
@@ -54,7 +54,7 @@
     { "max_held", &GenerationSettings::maxGenerations, 1, 10000000,
         "Limit of the generations in memory, running or finished; further ones are refused with 503." },
     { "retry_after_ms", &GenerationSettings::retryAfter, 1, maxMilliseconds,
-        "Retry delay that a refused caller is told." },
+        "Retry delay in the response to a refused caller." },
 };
 
 inline const std::vector<SettingField<RecoverySettings>> recoveryFields {
--- a/test/PeerPermitsTest.cpp
+++ b/test/PeerPermitsTest.cpp
@@ -87,7 +87,8 @@
         return *got;
     }
 
-    // All VMs ask in turn until the time is over; VM 1 sends nine of ten requests. Returns the number of permits.
+    // All VMs request permits in turn until the time is over; VM 1 sends nine of ten requests. Returns the number of
+    // permits.
     int permitsGrantedWithin(Milliseconds time, double perSecond)
     {
         int granted = 0;
--- a/test/PeerRolloutsTest.cpp
+++ b/test/PeerRolloutsTest.cpp
@@ -58,7 +58,7 @@
 
     std::string status() { return store->value("status", "rollout/s").value_or("none"); }
 
-    // A report of another process with the given counts of the candidate's answers.
+    // A report of another process with the given counts of the candidate's responses.
     static std::string report(unsigned candidateAnswers, unsigned candidateBad, std::uint64_t revision = orderRevision)
     {
         return R"({"service":"s","process":"vm2/1","stopped":false,"revision":)" + std::to_string(revision)
@@ -66,7 +66,7 @@
             + std::to_string(candidateBad) + "]}}}";
     }
 
-    // Restores the store from its copy, and tells this VM about it.
+    // Restores the store from its copy, and notifies this VM.
     void restoreStore()
     {
         store->restoreCopy();
--- a/test/PeerRunLocationsTest.cpp
+++ b/test/PeerRunLocationsTest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// A VM with an address at which other VMs call it. The store does not answer unless a test changes that.
+// A VM with an address at which other VMs call it. The store does not respond unless a test changes that.
 struct TestVm {
     TestVm(boost::asio::io_context& ioContext, const std::string& name, std::int64_t storePort)
         : registry(ioContext, { "127.0.0.1", storePort }, { name, "a", {} }, {}, [](const auto&) {})
@@ -98,8 +98,8 @@
             [&](const std::unique_ptr<TestVm>& vm) { return vm->locations->tell(promptId).has_value(); }));
     }
 
-    // A VM that asks six others, some of which know the run of prompt 91bd. Addresses, and so the three location
-    // keepers, differ between executions of the test. The keepers may include the first VM and the asking one.
+    // A VM that queries six others, some of which know the run of prompt 91bd. Addresses, and so the three location
+    // keepers, differ between executions of the test. The keepers may include the first VM and the querying one.
     struct AskingVm {
         template <typename Group>
         explicit AskingVm(Group& group)
@@ -172,9 +172,9 @@
     AskingVm asking(*this);
     asking.clock.advance(Milliseconds { 10001 });
     STRCMP_EQUAL("e1", asking.find("91bd").c_str());
-    LONGS_EQUAL_TEXT(0, asking.store.searches, "the store must not be asked if a VM knows the run");
+    LONGS_EQUAL_TEXT(0, asking.store.searches, "the store must not be searched if a VM knows the run");
     STRCMP_EQUAL("none", asking.find("77aa").c_str());
-    LONGS_EQUAL_TEXT(1, asking.store.searches, "the store must be asked once if no VM knows the run");
+    LONGS_EQUAL_TEXT(1, asking.store.searches, "the store must be searched once if no VM knows the run");
 }
 
 TEST(PeerRunLocations, AVmThatHasJustStartedAsksTheStoreAtOnce)
--- a/test/PlatformCallProtocolTest.cpp
+++ b/test/PlatformCallProtocolTest.cpp
@@ -189,7 +189,7 @@
     LONGS_EQUAL(0, protocol.decodeAnswer({ 503, past, "" }).rest.time->count());
     const HttpHeaders twice { { "Retry-After", "1" }, { "retry-after", "2" } };
     LONGS_EQUAL(2000, protocol.decodeAnswer({ 503, twice, "" }).rest.time->count());
-    // In other responses Retry-After says when the caller may retry, or when a redirect may be followed.
+    // In other responses Retry-After states when the caller may retry, or when a redirect may be followed.
     CHECK(!protocol.decodeAnswer({ 200, { { "Retry-After", "3" } }, "" }).rest.time);
 }
 
--- a/test/PlatformStoreTest.cpp
+++ b/test/PlatformStoreTest.cpp
@@ -226,7 +226,7 @@
     CHECK(runUntil([&] { return shared.follower.rows["b"] == "2"; }));
 }
 
-// When the store responds to nobody, each VM calls it once, and again only after a growing pause.
+// When the store responds to no VM, each VM calls it once, and again only after a growing pause.
 TEST(PlatformStore, AFollowerRarelyCallsAStoreThatIsDownForAll)
 {
     ReaderAndFollower shared(*ioContext);
--- a/test/SoakPartsTest.cpp
+++ b/test/SoakPartsTest.cpp
@@ -32,8 +32,8 @@
 {
     boost::asio::io_context ioContext;
 
-    // What the caller behind the proxy has received once the endpoint has answered its request, or after at most 200
-    // turns of the io_context.
+    // What the caller behind the proxy has received once the endpoint has responded to its request, or after at most
+    // 200 polls of the io_context.
     std::string responseThrough(LinkMode mode)
     {
         ScriptedEndpoint endpoint(ioContext);
--- a/test/StoreHistoryTest.cpp
+++ b/test/StoreHistoryTest.cpp
@@ -280,8 +280,8 @@
     CHECK_TEXT(list.isListed(2), "the entry of e2 has not expired, so e2 is alive");
 }
 
-// The endpoint's removal was seen first. An older list then said that the endpoint was shutting down, which made it a
-// last resort for requests.
+// The VM saw the endpoint's removal first. An older list then stated that the endpoint was shutting down, which made it
+// a last resort for requests.
 TEST(StoreHistory, ARemovedEndpointIsNoLastResortWhenAnOlderListSaysDraining)
 {
     RestoredList list(*ioContext);
--- a/test/ZoneReadersTest.cpp
+++ b/test/ZoneReadersTest.cpp
@@ -67,7 +67,7 @@
     STRCMP_EQUAL("a2", readers.current()->name.c_str());
 }
 
-// The store answers no VM, in a zone of 59 VMs. Each VM finds that one reader after the other has stale data.
+// The store responds to no VM in a zone of 59 VMs. Each VM finds that one reader after the other has stale data.
 TEST(ZoneReaders, OnlyTheFirstFewVmsAskAFailingStore)
 {
     constexpr int vmCount = 59;
@@ -91,7 +91,7 @@
         }
         askingVms += asksTheStore ? 1 : 0;
     }
-    CHECK_TEXT(askingVms <= 5, "a failing store must be asked by at most five VMs of the zone");
+    CHECK_TEXT(askingVms <= 5, "a failing store must be called by at most five VMs of the zone");
 }
 
 TEST(ZoneReaders, NextVmByRankReadsTheStoreWhenTheFirstHasFailed)
