--- a/test/PeerPermitsTest.cpp
+++ b/test/PeerPermitsTest.cpp
@@ -23,8 +23,10 @@
         CHECK_FALSE(feeds->start().has_value());
         entry = { name, "a", { "127.0.0.1", feeds->port() } };
         permits = std::make_unique<PeerPermits>(ioContext, clock, entry);
-        feeds->exchange(PeerPermits::requestPath, [this](const std::string& body) { return permits->answer(body); });
-        feeds->take(PeerPermits::reportPath, [this](const std::string& body) { return permits->take(body); });
+        feeds->handleExchanges(
+            PeerPermits::requestPath, [this](const std::string& body) { return permits->answer(body); });
+        feeds->handleMessages(
+            PeerPermits::reportPath, [this](const std::string& body) { return permits->applyReport(body); });
     }
 
     VmRegistry registry;
@@ -162,13 +164,13 @@
 TEST(PeerPermits, RefusesInvalidRequestsAndReports)
 {
     addVms(1);
-    auto& asked = *vms[0]->permits;
+    auto& receiver = *vms[0]->permits;
     for (const auto* text : { "", "[]", "{}", R"({"endpoint":1,"age_ms":0,"patience_ms":0,"rank":0})",
              R"({"endpoint":"e","age_ms":-1,"patience_ms":0,"rank":0})",
              R"({"endpoint":"e","age_ms":0,"per_second":-1,"patience_ms":0,"rank":0})",
              R"({"endpoint":"e","age_ms":0,"per_second":"1","patience_ms":0,"rank":0})",
              R"({"endpoint":"e","age_ms":0,"per_second":1,"rank":0})" }) {
-        CHECK_TEXT(!asked.answer(text).has_value(), text);
+        CHECK_TEXT(!receiver.answer(text).has_value(), text);
     }
-    CHECK_FALSE(asked.take("{}"));
+    CHECK_FALSE(receiver.applyReport("{}"));
 }
--- a/test/PeerRolloutsTest.cpp
+++ b/test/PeerRolloutsTest.cpp
@@ -97,8 +97,8 @@
 {
     advanceStore();
     startRollout();
-    const auto told = rollouts->takeReport(report(20, 12));
-    CHECK(told && told->find("stop") != std::string::npos);
+    const auto response = rollouts->takeReport(report(20, 12));
+    CHECK(response && response->find("stop") != std::string::npos);
     CHECK(runUntil([&] { return rollout().decision() == RolloutDecision::RolledBack; }));
     CHECK_TEXT(rollout().isStopped(), "the VM stops its own requests to the candidate as well");
 }
@@ -214,7 +214,7 @@
     advanceStore();
     VmRegistry vms(daemon->ioContext(), { "127.0.0.1", store->port() }, { "vm1", "a", {} }, {}, [](const auto&) {});
     PeerFeeds feeds(daemon->ioContext(), { "127.0.0.1", 0 }, vms);
-    feeds.exchange(PeerRollouts::path, [this](const std::string& body) { return rollouts->takeReport(body); });
+    feeds.handleExchanges(PeerRollouts::path, [this](const std::string& body) { return rollouts->takeReport(body); });
     CHECK_FALSE(feeds.start().has_value());
     RelaySettings settings;
     settings.vmName = "vm2";
@@ -223,19 +223,19 @@
     reporter.setOthers({ { "vm1", "a", { "127.0.0.1", feeds.port() }, 200 } });
     startRollout();
     reporter.takeRow({ "rollout/s", orderText, false, orderRevision });
-    auto& told = *other.rollouts().find("s");
+    auto& otherRollout = *other.rollouts().find("s");
     const auto runBothUntil = [&](const std::function<bool()>& condition) {
         return runUntil([&] {
             other.ioContext().poll();
             return condition();
         });
     };
-    CHECK(runBothUntil([&] { return told.choose(other.clock().now()).admits("v2"); }));
+    CHECK(runBothUntil([&] { return otherRollout.choose(other.clock().now()).admits("v2"); }));
     for (int i = 0; i < 100; ++i)
-        told.noteAnswer("r", RunnerVersion::Present, AnswerQuality::Good);
+        otherRollout.noteAnswer("r", RunnerVersion::Present, AnswerQuality::Good);
     for (int i = 0; i < 20; ++i)
-        told.noteAnswer("r", RunnerVersion::Candidate, AnswerQuality::Bad);
-    CHECK(runBothUntil([&] { return told.isStopped(); }));
-    CHECK(runBothUntil([&] { return told.decision() == RolloutDecision::RolledBack; }));
+        otherRollout.noteAnswer("r", RunnerVersion::Candidate, AnswerQuality::Bad);
+    CHECK(runBothUntil([&] { return otherRollout.isStopped(); }));
+    CHECK(runBothUntil([&] { return otherRollout.decision() == RolloutDecision::RolledBack; }));
     CHECK(rollout().decision() == RolloutDecision::RolledBack);
 }
--- a/test/PeerRunLocationsTest.cpp
+++ b/test/PeerRunLocationsTest.cpp
@@ -25,9 +25,10 @@
         CHECK_FALSE(feeds.start().has_value());
         entry = { name, "a", { "127.0.0.1", feeds.port() } };
         locations = std::make_unique<PeerRunLocations>(ioContext, clock, entry, stored);
-        feeds.take(PeerRunLocations::reportPath, [this](const std::string& body) { return locations->take(body); });
-        feeds.tell(
-            PeerRunLocations::requestPath, [this](const std::string& promptId) { return locations->tell(promptId); });
+        feeds.handleMessages(
+            PeerRunLocations::reportPath, [this](const std::string& body) { return locations->applyFromPeer(body); });
+        feeds.handleQueries(PeerRunLocations::requestPath,
+            [this](const std::string& promptId) { return locations->answerQuery(promptId); });
     }
 
     ManualClock clock;
@@ -95,14 +96,14 @@
     std::size_t storedElsewhere(const std::string& promptId) const
     {
         return static_cast<std::size_t>(std::count_if(vms.begin() + 1, vms.end(),
-            [&](const std::unique_ptr<TestVm>& vm) { return vm->locations->tell(promptId).has_value(); }));
+            [&](const std::unique_ptr<TestVm>& vm) { return vm->locations->answerQuery(promptId).has_value(); }));
     }
 
     // A VM that queries six others, some of which know the run of prompt 91bd. Addresses, and so the three location
     // keepers, differ between executions of the test. The keepers may include the first VM and the querying one.
-    struct AskingVm {
+    struct QueryingVm {
         template <typename Group>
-        explicit AskingVm(Group& group)
+        explicit QueryingVm(Group& group)
             : ioContext(*group.ioContext)
             , self({ "vm9", "a", { "127.0.0.1", 1 } })
             , locations(ioContext, clock, self, store)
@@ -169,19 +170,19 @@
 
 TEST(PeerRunLocations, TheStoreIsAskedOnlyWhenNoVmKnowsTheRun)
 {
-    AskingVm asking(*this);
-    asking.clock.advance(Milliseconds { 10001 });
-    STRCMP_EQUAL("e1", asking.find("91bd").c_str());
-    LONGS_EQUAL_TEXT(0, asking.store.searches, "the store must not be searched if a VM knows the run");
-    STRCMP_EQUAL("none", asking.find("77aa").c_str());
-    LONGS_EQUAL_TEXT(1, asking.store.searches, "the store must be searched once if no VM knows the run");
+    QueryingVm queryingVm(*this);
+    queryingVm.clock.advance(Milliseconds { 10001 });
+    STRCMP_EQUAL("e1", queryingVm.find("91bd").c_str());
+    LONGS_EQUAL_TEXT(0, queryingVm.store.searches, "the store must not be searched if a VM knows the run");
+    STRCMP_EQUAL("none", queryingVm.find("77aa").c_str());
+    LONGS_EQUAL_TEXT(1, queryingVm.store.searches, "the store must be searched once if no VM knows the run");
 }
 
 TEST(PeerRunLocations, AVmThatHasJustStartedAsksTheStoreAtOnce)
 {
-    AskingVm asking(*this);
-    STRCMP_EQUAL("e1", asking.find("91bd").c_str());
-    LONGS_EQUAL(1, asking.store.searches);
+    QueryingVm queryingVm(*this);
+    STRCMP_EQUAL("e1", queryingVm.find("91bd").c_str());
+    LONGS_EQUAL(1, queryingVm.store.searches);
 }
 
 TEST(PeerRunLocations, ASearchThatFindsNothingEnds)
@@ -205,7 +206,7 @@
 {
     addVms(1);
     for (const auto* const text : { "", "[]", "7", "{" })
-        CHECK_FALSE_TEXT(vms[0]->locations->take(text), text);
-    CHECK(vms[0]->locations->take(R"({"91bd":7})"));
-    CHECK_FALSE(vms[0]->locations->tell("91bd").has_value());
+        CHECK_FALSE_TEXT(vms[0]->locations->applyFromPeer(text), text);
+    CHECK(vms[0]->locations->applyFromPeer(R"({"91bd":7})"));
+    CHECK_FALSE(vms[0]->locations->answerQuery("91bd").has_value());
 }
--- a/test/PlatformStoreTest.cpp
+++ b/test/PlatformStoreTest.cpp
@@ -236,8 +236,8 @@
         { "vm4", "a", address }, { "vm5", "a", address } });
     bool hasFailed = false;
     shared.reader.feed->onFailure([&] { hasFailed = true; });
-    for (auto* const asked : { shared.readerStore.get(), shared.followerStore.get() })
-        asked->setFault(StoreFault::Unavailable);
+    for (auto* const failingStore : { shared.readerStore.get(), shared.followerStore.get() })
+        failingStore->setFault(StoreFault::Unavailable);
     CHECK(runUntil([&] { return hasFailed; }));
     const auto calls = shared.followerStore->callCount();
     shared.reader.clock.advance(Milliseconds { 1500 });
@@ -245,8 +245,8 @@
     int failures = 0;
     shared.follower.feed->onFailure([&] { ++failures; });
     CHECK(runUntil([&] { return failures > 0; }));
-    const auto heard = shared.readerStore->callCount() + 3;
-    CHECK(runUntil([&] { return shared.readerStore->callCount() > heard; }));
+    const auto expectedCalls = shared.readerStore->callCount() + 3;
+    CHECK(runUntil([&] { return shared.readerStore->callCount() > expectedCalls; }));
     LONGS_EQUAL_TEXT(
         calls + 1, shared.followerStore->callCount(), "the clock does not advance, so no second call is due");
 }
@@ -390,7 +390,7 @@
 TEST(PlatformStore, AVmOfALargeZoneGetsTheVmListFromTheReader)
 {
     ReaderAndFollower shared(*ioContext);
-    shared.feeds.tell(VmRegistry::peerPath, [&shared](const std::string&) { return shared.vms.text(); });
+    shared.feeds.handleQueries(VmRegistry::peerPath, [&shared](const std::string&) { return shared.vms.text(); });
     const SocketAddress address { "127.0.0.1", store->port() };
     CHECK(runUntil([&] { return shared.vms.text().has_value(); }));
     std::size_t count = 0;
@@ -457,7 +457,7 @@
     ReaderAndFollower shared(*ioContext);
     auto& target = *shared.readerStore;
     StoreRunLocations readersLocations(*ioContext, { "127.0.0.1", target.port() });
-    shared.feeds.take(
+    shared.feeds.handleMessages(
         StoreRunLocations::peerPath, [&](const std::string& body) { return readersLocations.applyFromPeer(body); });
     StoreRunLocations locations(*ioContext, { "127.0.0.1", shared.followerStore->port() });
     locations.useZoneReaders(shared.readers);
--- a/test/ZoneReadersTest.cpp
+++ b/test/ZoneReadersTest.cpp
@@ -75,23 +75,23 @@
     vms.reserve(vmCount);
     for (int i = 0; i < vmCount; ++i)
         vms.push_back({ "a" + std::to_string(100 + i), "a", {}, 10 });
-    int askingVms = 0;
+    int callingVms = 0;
     for (const auto& self : vms) {
         ZoneReaders readers(clock, self);
         auto known = vms;
         known.erase(
             std::find_if(known.begin(), known.end(), [&self](const VmEntry& vm) { return vm.name == self.name; }));
         readers.setOthers(known);
-        bool asksTheStore = false;
+        bool callsTheStore = false;
         for (int attempt = 0; attempt < 20; ++attempt) {
             const auto reader = readers.current();
-            asksTheStore = asksTheStore || !reader;
+            callsTheStore = callsTheStore || !reader;
             if (reader)
                 readers.skipReader(reader->name);
         }
-        askingVms += asksTheStore ? 1 : 0;
+        callingVms += callsTheStore ? 1 : 0;
     }
-    CHECK_TEXT(askingVms <= 5, "a failing store must be called by at most five VMs of the zone");
+    CHECK_TEXT(callingVms <= 5, "a failing store must be called by at most five VMs of the zone");
 }
 
 TEST(ZoneReaders, NextVmByRankReadsTheStoreWhenTheFirstHasFailed)
