--- a/bench/DetectorStudy.cpp
+++ b/bench/DetectorStudy.cpp
@@ -1,7 +1,8 @@
 // Compares the silence detectors on simulated gaps between tokens that have the stand-in engine's noise.
 //
 // For each detector it prints how often a healthy endpoint is suspected (false alarms) and how long a caller waits
-// until a dead one is. The seed is fixed, so each run prints the same table, which docs/DETECTORS.md contains.
+// until a dead endpoint is suspected. The seed is fixed, so each run prints the same table;
+// docs/DETECTORS.md contains it.
 
 #include "lupinknot/SilenceDetector.h"
 #include "standin/EngineStandInSettings.h"
@@ -49,8 +50,8 @@
     return Milliseconds { std::llround(gap) };
 }
 
-// Each generation is simulated to its end to count false alarms. The wait is taken at one random token, as if the
-// endpoint died there.
+// Each generation is simulated to its end to count false alarms. The wait is the silence timeout at one random token,
+// as if the endpoint died there.
 StudyResult study(const Noise& noise, const Candidate& candidate)
 {
     std::mt19937_64 random(seed);
--- a/bench/LimitStudy.cpp
+++ b/bench/LimitStudy.cpp
@@ -2,8 +2,9 @@
 //
 //     LimitStudy [SCENARIOS]
 //
-// Prints a table without faults for each way of enforcement and one with faults for the way in use, then simulates this
-// many scenarios with faults (1,000 by default) and lists those that exceed the limit.
+// Prints a table without faults for each kind of enforcement, and one with faults for enforcement by a limit keeper, as
+// the VMs use it. Then simulates SCENARIOS scenarios with faults (1,000 by default) and lists those that exceed the
+// limit.
 #include "model/LimitModel.h"
 
 #include <algorithm>
@@ -68,7 +69,7 @@
                 outcome.worstExcess);
         }
     }
-    std::printf("%llu scenarios with faults: %llu over the bound, the worst four seconds %.2f of it\n",
+    std::printf("%llu scenarios with faults: %llu exceed the limit, worst four seconds %.2f of the allowed requests\n",
         static_cast<unsigned long long>(count), static_cast<unsigned long long>(broken), worst);
 }
 
--- a/bench/RetryBudgetStudy.cpp
+++ b/bench/RetryBudgetStudy.cpp
@@ -1,7 +1,8 @@
 // Simulates fleets and counts those whose retries exceed the budget that all VMs share.
 //
-//     RetryBudgetStudy [SCENARIOS [FIRST]]   # Number of scenarios, 10,000 by default, from seed FIRST on, 1 by
-//     default.
+//     RetryBudgetStudy [SCENARIOS [FIRST]]
+//
+// SCENARIOS is the number of scenarios (10,000 by default), FIRST the seed of the first one (1 by default).
 //
 // The exit code is 1 when a scenario exceeds the budget.
 #include "model/RetryModel.h"
--- a/src/daemon/Cluster.cpp
+++ b/src/daemon/Cluster.cpp
@@ -13,8 +13,8 @@
 
 constexpr Milliseconds queryTimeout { 200 };
 constexpr Milliseconds joinPollInterval { 5 };
-// All VMs in the settings form one fixed view; when the VM that runs a record is lost, the record stays with its
-// replica.
+// All VMs in the settings form one fixed view. When the VM that runs a generation is lost, the replica keeps its
+// record.
 constexpr std::uint64_t staticEpoch = 1;
 
 PeerNetworkSettings networkSettings(
@@ -92,7 +92,7 @@
         return;
     }
     if (const auto placement = placeByOwnRecord(key)) {
-        // The runner may have moved its journal and left an older record here, so the other VMs are asked first.
+        // The runner may have moved its journal and left an older record here, so the other VMs are queried first.
         if (placement->kind == KeyPlacement::Kind::TakeOver)
             queryPeers(key, std::move(decide));
         else
@@ -455,7 +455,7 @@
     if (item.has_open()) {
         auto record = recordOf(peer, item.open());
         const auto key = record.request.key;
-        // This VM may run the key itself, for a caller who came while the two VMs could not reach each other.
+        // This VM may run the key itself, for a caller who connected while the two VMs could not reach each other.
         result = m_runsKey(key) ? JournalResult::Refused : m_store.open(epoch, std::move(record));
         const std::lock_guard lock(m_mutex);
         m_incomingJournals[peer.vm].streams[item.handle()] = { key, 0 };
@@ -511,8 +511,8 @@
     answer.set_id(envelope.query().id());
     answer.set_is_runner(m_runsKey(key));
     const auto record = m_store.find(key);
-    // A record of the querying VM itself counts if it dates from before that VM's restart. Since its restart, that VM
-    // knows best whether it has released the key.
+    // A record that the querying VM journaled since its last start is ignored: that VM itself knows whether it has
+    // released the key. A record from before its restart is reported.
     const bool isOwnRecordOfPeer = record && record->runner == ViewMember { peer.vm, peer.incarnation };
     answer.set_is_known(answer.is_runner() || (record && !isOwnRecordOfPeer));
     answer.set_length(record ? record->tokens.size() : 0);
--- a/src/daemon/Cluster.h
+++ b/src/daemon/Cluster.h
@@ -31,8 +31,8 @@
 
     Cluster(boost::asio::io_context&, const Clock&, const DaemonSettings&, std::uint64_t incarnation);
 
-    // Connects to the peers. The function tells whether this VM itself runs a key. Returns an error message, or nothing
-    // on success.
+    // Connects to the peers. The function returns whether this VM itself runs a key. Returns an error message, or
+    // nothing on success.
     std::optional<std::string> start(unsigned short callerPort, RunsKeyFunction);
     void stop();
     // False when there are no peers: this VM then serves every key, and nothing is journaled.
--- a/src/daemon/Daemon.h
+++ b/src/daemon/Daemon.h
@@ -2,7 +2,7 @@
 //
 //     Daemon daemon(settings);
 //     auto problem = daemon.start();
-//     daemon.stop();                  // Returns when every request in progress has its answer.
+//     daemon.stop();                  // Returns when all requests in progress have ended, or after vm.stopTimeout.
 #pragma once
 
 #include "settings/DaemonSettings.h"
--- a/src/daemon/EndpointState.h
+++ b/src/daemon/EndpointState.h
@@ -9,8 +9,8 @@
 
 namespace lupinknot::internal {
 
-// The state of an endpoint in the platform's list. The list is late, so it only decides whether an endpoint is shutting
-// down; the calls to an endpoint show whether it can be reached.
+// The state of an endpoint in the platform's list. The list is delayed, so it only decides whether an endpoint is
+// shutting down; the calls to an endpoint show whether it can be reached.
 enum class EndpointListing {
     Live,
     Leaving,
--- a/src/daemon/EndpointTable.cpp
+++ b/src/daemon/EndpointTable.cpp
@@ -79,7 +79,7 @@
     if (!best)
         return probe(candidates, query);
     logInfo(LogComponent::Route,
-        query.subject + " goes to " + best->settings().name + ": " + std::to_string(best->inFlight())
+        query.subject + " is sent to " + best->settings().name + ": " + std::to_string(best->inFlight())
             + " in flight, zone " + best->settings().zone + ", " + std::to_string(eligible) + " of "
             + std::to_string(candidates.size()) + " eligible.");
     return best;
--- a/src/daemon/EngineProtocol.h
+++ b/src/daemon/EngineProtocol.h
@@ -34,7 +34,7 @@
     Milliseconds keepOnDisconnect { 0 };
 };
 
-// Makes the request of one attempt. Without a prefix, the prompt is sent as the caller sent it.
+// Creates the request of one attempt. Without a prefix, the prompt is sent as the caller sent it.
 HttpRequest engineRequest(const CompletionRequest&, const EngineStreamOptions&, const std::optional<EnginePrefix>&);
 
 // Parses the data of one event. Returns nothing when it is malformed.
--- a/src/daemon/ForwardedRequest.h
+++ b/src/daemon/ForwardedRequest.h
@@ -29,7 +29,7 @@
     ForwardedRequest(const GenerationContext&, std::shared_ptr<HttpExchange>, std::string vm);
 
     // Sets the callback that is called instead of an error response when the other VM is lost before it responds. The
-    // callback places the request again, as the caller itself would do.
+    // callback routes the request again, as a retry by the caller would.
     void onLost(std::function<void()> callback) { m_onLost = std::move(callback); }
     void start(const SocketAddress&, unsigned hops);
 
--- a/src/daemon/GenerationRegistry.h
+++ b/src/daemon/GenerationRegistry.h
@@ -45,9 +45,9 @@
     Admission admit(const CompletionRequest&);
     // The generation of a key; nothing when this VM does not run it or no longer holds it.
     std::shared_ptr<LiveGeneration> findByKey(const std::string& key);
-    // Continues a generation that another VM ran. Calls the function for the record only if the key is not here, so
-    // that of two requests one takes the record over and the other finds the generation. The verdict is Gone when the
-    // record no longer exists or cannot be parsed.
+    // Continues a generation that another VM ran. Calls the function for the record only if the key is not here:
+    // when two requests arrive at once, one takes the record over and the other finds the generation. The verdict is
+    // Gone when the record no longer exists or cannot be parsed.
     using TakeRecord = std::function<std::optional<ReplicaRecord>()>;
     Admission adopt(const std::string& key, const TakeRecord&);
     std::shared_ptr<LiveGeneration> findById(const std::string& id) const;
--- a/src/daemon/JournalLink.h
+++ b/src/daemon/JournalLink.h
@@ -32,7 +32,7 @@
 
     void add(const std::shared_ptr<JournalSource>&);
     void changed(const JournalSource*);
-    // Tells the replica that it may remove the generation.
+    // Notifies the replica that it may remove the generation.
     void remove(const JournalSource*);
     void acknowledged(const wire::JournalAck&);
     // Ends the link. Returns the sources that need another link.
--- a/src/daemon/KeyPlacement.cpp
+++ b/src/daemon/KeyPlacement.cpp
@@ -7,7 +7,7 @@
     const bool isRunnerUp = runner && runner->incarnation == record.runner.incarnation;
     if (isRunnerUp)
         return { KeyPlacement::Kind::Forward, *runner, std::nullopt };
-    // A restarted VM has lost its work, so it cannot still run it.
+    // A restarted VM has lost its state, so the work of its previous process cannot still run there.
     const bool isRunnerGone = runner.has_value();
     const bool mayTakeOver = record.request.repeatable || isRunnerGone || record.finishReason;
     if (!mayTakeOver)
--- a/src/daemon/KeyedRequestRouter.cpp
+++ b/src/daemon/KeyedRequestRouter.cpp
@@ -16,7 +16,7 @@
 
 // A request is forwarded to the responsible VM, and from there to the VM that runs it.
 constexpr unsigned maxHops = 3;
-// Number and interval of the attempts to place a request again when the VM that it was forwarded to is lost.
+// Number and interval of the retries when the VM that a request was forwarded to is lost.
 constexpr unsigned maxTries = 200;
 constexpr Milliseconds retryInterval { 10 };
 
--- a/src/daemon/KeyedServiceCall.h
+++ b/src/daemon/KeyedServiceCall.h
@@ -42,7 +42,7 @@
     bool isKeyReusable() const;
     void detachJournal();
 
-    // HttpExchange, as the ServiceCall sees it.
+    // HttpExchange. The ServiceCall calls these functions.
     const HttpRequest& request() const override { return m_request; }
     void respond(HttpResponse) override;
     void stream(HttpResponse, std::shared_ptr<HttpBodySource>) override { }
--- a/src/daemon/LiveGeneration.cpp
+++ b/src/daemon/LiveGeneration.cpp
@@ -412,7 +412,7 @@
 
 std::string LiveGeneration::streamId(AttemptNumber attempt) const { return m_id + ":" + std::to_string(attempt); }
 
-// Tells the engine to stop a stream, because it may keep streams running without a connection.
+// Cancels a stream on its engine, because an engine may keep streams running without a connection.
 void LiveGeneration::stopStream(const EndpointSettings& endpoint, const std::string& stream)
 {
     class IgnoringListener final : public HttpCallListener {
--- a/src/daemon/LiveGeneration.h
+++ b/src/daemon/LiveGeneration.h
@@ -44,7 +44,7 @@
     // When the last watcher is detached the work is cancelled, at once or after the time in the settings.
     void detach(const GenerationWatcher&);
 
-    // Tells the replica that it may remove the generation.
+    // Notifies the replica that it may remove the generation.
     void detachJournal();
     // True when another VM runs the generation now, or when it was refused as not run: its key may be used again here.
     bool isKeyReusable() const;
--- a/src/daemon/PlatformReader.cpp
+++ b/src/daemon/PlatformReader.cpp
@@ -88,7 +88,7 @@
     if (m_status == statusOk)
         applyList();
     else
-        noteFailure("status " + std::to_string(m_status));
+        noteFailure("expected status 200; found " + std::to_string(m_status));
     scheduleNextRead();
 }
 
@@ -125,7 +125,7 @@
 {
     const auto entries = parseListing(m_body);
     if (!entries) {
-        noteFailure("the list is malformed");
+        noteFailure("expected a JSON object with the list endpoints, each entry with name and state");
         return;
     }
     m_endpoints.applyListing(*entries);
@@ -139,7 +139,7 @@
 {
     if (!m_isFailing && !m_isStopped)
         logWarning(LogComponent::Platform,
-            "the platform's list cannot be read (" + reason + "); the last list stays in force.");
+            "the platform's list cannot be read (" + reason + "); the last list remains in use.");
     m_isFailing = true;
 }
 
--- a/src/daemon/PlatformReader.h
+++ b/src/daemon/PlatformReader.h
@@ -15,7 +15,7 @@
 class EndpointTable;
 class HttpCall;
 
-// Thread-safe. While the platform does not respond, the last list stays in force, so the endpoints continue to serve.
+// Thread-safe. While the platform does not respond, the last list remains in use, so the endpoints continue to serve.
 class PlatformReader final : public HttpCallListener, public std::enable_shared_from_this<PlatformReader> {
 public:
     PlatformReader(const GenerationContext&, EndpointTable&);
--- a/src/daemon/ServiceCall.h
+++ b/src/daemon/ServiceCall.h
@@ -16,8 +16,9 @@
 class HttpExchange;
 struct JsonError;
 
-// The response is passed on when it is complete, so that an attempt that breaks off can be repeated unnoticed. A call
-// that must not be repeated is tried again only if no connection was established.
+// The response is passed on when it is complete, so that an attempt that fails during its response can be retried
+// without the caller receiving a part of it. A call that must not be repeated is retried only if no connection was
+// established.
 //
 // Thread-safe, with one lock of its own. Kept alive by its call in progress.
 class ServiceCall final : public HttpCallListener, public std::enable_shared_from_this<ServiceCall> {
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -32,7 +32,7 @@
 {
     TCLAP::CmdLine line("The daemon of a lupinknot entry VM.", ' ', std::string(version));
     TCLAP::ValueArg<std::string> settings("s", "settings", "File with the settings, in TOML.", false, "", "file", line);
-    TCLAP::SwitchArg check("", "check", "Check the settings and exit: 0 when they are good, 2 when not.", line);
+    TCLAP::SwitchArg check("", "check", "Check the settings and exit: 0 when they are valid, 2 when not.", line);
     TCLAP::SwitchArg reference(
         "", "settings-reference", "Print the reference of all settings as Markdown and exit.", line);
     line.parse(argc, argv);
@@ -76,7 +76,7 @@
         [&]() -> leaf::result<int> {
             BOOST_LEAF_AUTO(settings, readSettingsFile(options.settingsPath));
             if (options.isCheck) {
-                std::cout << options.settingsPath << ": the settings are good\n";
+                std::cout << options.settingsPath << ": the settings are valid\n";
                 return exitOk;
             }
             return serve(settings);
--- a/src/load/GenerationCaller.cpp
+++ b/src/load/GenerationCaller.cpp
@@ -151,7 +151,7 @@
 {
     const auto colon = id.rfind(':');
     const auto generation = id.substr(0, colon);
-    // Another VM that continues the generation appends a suffix to its name.
+    // A VM that takes the generation over appends a suffix to its id.
     const bool isSameGeneration = baseOf(generation) == baseOf(m_result.generation);
     const auto count = std::strtoul(id.c_str() + colon + 1, nullptr, 10);
     if (m_result.generation.empty())
--- a/src/load/LoadRun.cpp
+++ b/src/load/LoadRun.cpp
@@ -166,7 +166,8 @@
 void LoadRun::expectEngineRuns(std::size_t requests, std::size_t needed)
 {
     m_report.doubleRuns += requests > needed ? requests - needed : 0;
-    expect(requests >= needed, "engines received fewer requests than needed: " + std::to_string(requests));
+    expect(requests >= needed,
+        "engines received fewer requests than the generations need; found " + std::to_string(requests));
 }
 
 void LoadRun::expect(bool condition, const std::string& problem)
--- a/src/model/LimitModel.cpp
+++ b/src/model/LimitModel.cpp
@@ -56,7 +56,7 @@
 struct Vm {
     bool isUp { true };
     Milliseconds pausedUntil { 0 };
-    // Disconnected from the other VMs until then.
+    // Until this time the VM is disconnected from the other VMs.
     Milliseconds disconnectedUntil { 0 };
     Milliseconds affectedUntil { 0 };
     unsigned incarnation { 0 };
@@ -69,7 +69,7 @@
     LimitKeeper keeperAlone;
     KeeperReachability watch;
     Milliseconds startedAt { 0 };
-    // For the ways without a limit keeper.
+    // Used when the limit is enforced without a limit keeper.
     PermitSchedule own { Milliseconds { 0 } };
     double ownRate { 0 };
     std::vector<Milliseconds> requests;
@@ -377,7 +377,7 @@
     });
 }
 
-// For the ways in which each VM enforces its own share of the limit.
+// Used when each VM enforces its own share of the limit.
 void LimitSimulation::sendBySchedule(std::size_t number)
 {
     auto& vm = m_vms[number];
--- a/src/model/LimitModel.h
+++ b/src/model/LimitModel.h
@@ -1,7 +1,7 @@
 // Discrete-event simulation of one rate-limited endpoint and the VMs that send requests to it; seeded.
 //
-//     const auto outcome = simulateLimit({ .way = LimitEnforcement::SingleKeeper, .vmCount = 88, .perSecond = 2.3,
-//     .seed = 7 }); if (outcome.worstExcess > 0) ...
+//     const auto outcome = simulateLimit({ .vmCount = 88, .perSecond = 2.3, .seed = 7 });
+//     if (outcome.worstExcess > 0) ...
 //
 // The simulation runs the decision code of lupinknot-entry (src/limits). Calls between VMs take 1 to 4 ms and fail when
 // a VM is killed, paused or disconnected.
@@ -28,7 +28,7 @@
 inline constexpr std::array<EnumName<LimitEnforcement>, 4> limitEnforcementNames { {
     { LimitEnforcement::EvenShare, "even share" },
     { LimitEnforcement::DemandShares, "shares by demand" },
-    { LimitEnforcement::SingleKeeper, "one VM counts" },
+    { LimitEnforcement::SingleKeeper, "one limit keeper" },
     { LimitEnforcement::BackOff, "back off" },
 } };
 
--- a/src/model/RetryModel.h
+++ b/src/model/RetryModel.h
@@ -19,7 +19,7 @@
 struct RetryScenario {
     std::uint64_t seed { 1 };
     int vmCount { 90 };
-    // All VMs together.
+    // The sum over all VMs.
     double requestsPerSecond { 46 };
     double runSeconds { 5 };
     int seconds { 60 };
@@ -28,7 +28,7 @@
     int lossEverySeconds { 6 };
     // Share of the send attempts that an engine rejects; the VM may retry a rejected request at once.
     double rejectedShare { 0.1 };
-    // The same while the store does not respond and VMs do not know the new names of restarted engines.
+    // The same share while the store does not respond and VMs do not know the new names of restarted engines.
     double rejectedShareWhileStoreSilent { 0.4 };
     int silentFromSecond { 18 };
     int silentToSecond { 26 };
--- a/src/model/RolloutModel.cpp
+++ b/src/model/RolloutModel.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Milliseconds step { 100 };
-// Each VM sends its evidence to the aggregators once in so many steps.
+// Interval at which each VM sends its evidence to the aggregators.
 constexpr int stepsBetweenReports = 3;
 constexpr int aggregatorCount = 3;
 // Time from a request to its response.
@@ -291,7 +291,7 @@
         if (m_fiftyBadAt.count())
             outcome.lastSentAfterFiftyBad = std::max(m_lastSent - m_fiftyBadAt, Milliseconds { 0 });
         if (m_decision == RolloutDecision::Completed)
-            return; // Counted as a wrong decision instead: no limit applies once all requests go to it.
+            return; // The caller counts a wrong decision; no limit applies once all requests go to the candidate.
         if (outcome.exposed > outcome.allowedExposure)
             violate("a bad version received more requests than the exposure limit allows");
         if (outcome.lastSentAfterFiftyBad > rollbackTimeLimit)
--- a/src/standin/EngineFaults.h
+++ b/src/standin/EngineFaults.h
@@ -1,6 +1,6 @@
 // Faults that can be injected into a stand-in engine.
 //
-// The `--control` flag and `POST /control` set them from a JSON object; its keys stand beside the fields below.
+// The `--control` flag and `POST /control` set them from a JSON object; the comment of each field names its key.
 #pragma once
 
 #include "lupinknot/Clock.h"
--- a/test/DaemonTest.cpp
+++ b/test/DaemonTest.cpp
@@ -362,7 +362,7 @@
     STRCMP_CONTAINS("lupinknot_endpoint_in_flight{endpoint=\"e1\"} 0", metrics.c_str());
 }
 
-// A caller refused as not run is told when to retry; the retry with the same key must not get the earlier refusal.
+// A caller refused as not run may retry; the retry with the same key must not get the earlier refusal.
 TEST(Daemon, AcceptsAKeyAgainAfterItWasRefusedAsNotRun)
 {
     cluster.start();
--- a/test/InterleavingTest.cpp
+++ b/test/InterleavingTest.cpp
@@ -1,6 +1,6 @@
 // Tests the decision logic in seeded random interleavings of a runner, a replica that takes over, an engine that may
-// die, links that lose messages in flight, pauses, and a caller who changes VMs. The invariants are checked after each
-// step.
+// crash, links that lose messages in flight, pauses, and a caller who changes VMs. The invariants are checked
+// after each step.
 //
 // Token ids are unique over the whole run, so a token from another run of the same request is detected wherever it
 // appears.
@@ -203,7 +203,7 @@
         auto& vm = randomVm();
         if (vm.isPaused || !vm.running)
             return;
-        addToTrace("engine dies");
+        addToTrace("engine crashes");
         vm.driver.attemptFailed(vm.running, FailureKind::ConnectionLost, m_clock.now());
     }
 
@@ -237,8 +237,8 @@
             m_tokensSeen.push_back(tokens[i].id);
     }
 
-    // While the runner is paused, its caller goes to the replica, which takes over. The caller may return to the runner
-    // after the pause; the runner accepts it by the id of the answer and not by its length.
+    // While the runner is paused, its caller reconnects to the replica, which takes over. The caller may return to the
+    // runner after the pause; the runner accepts the caller by the id of the answer and not by its length.
     void changeVmOfCaller()
     {
         if (m_isCallerAtSuccessor) {
--- a/test/LimitModelTest.cpp
+++ b/test/LimitModelTest.cpp
@@ -3,10 +3,11 @@
 //
 // Seeds that showed a fault stay in the tests:
 // - 35, 155: a limit keeper is killed repeatedly, and each of its starts allows a burst.
-// - 154: all three limit keepers are disconnected together; 65 other VMs count alone and each sends one request at
-// once.
+// - 154: all three limit keepers are disconnected together; 65 other VMs issue their own permits, and each sends one
+//   request at once.
 // - 1270, 1511: the limit falls to 0 while permits are outstanding and limit keepers restart.
-// - 2478, 4215, 7479: a limit keeper restarts or was frozen, and the first VM to ask knows an outdated limit.
+// - 2478, 4215, 7479: a limit keeper restarts or was frozen, and the first VM to request a permit knows an
+//   outdated limit.
 // - 6799: a limit of 400 per second falls to 0; requests already on their way are allowed.
 #include "model/LimitModel.h"
 
--- a/test/TestCluster.h
+++ b/test/TestCluster.h
@@ -24,7 +24,7 @@
     // Starts the daemons. The settings may be changed only before. Each VM gets a copy with its own name and with the
     // other VMs as peers.
     void start();
-    // Destroys a VM's daemon without an orderly stop: its connections close, and it hands nothing over.
+    // Destroys a VM's daemon without an orderly stop: its connections close, and no work is handed over.
     void killVm(std::size_t index);
     // Starts a killed VM again, without its former state; restartVm() also waits until it is linked.
     void startVm(std::size_t index);
