--- a/bench/DetectorStudy.cpp
+++ b/bench/DetectorStudy.cpp
@@ -77,15 +77,15 @@
 
 std::vector<Noise> noises()
 {
-    EngineStandInSettings usual;
-    EngineStandInSettings fast = usual;
+    EngineStandInSettings defaults;
+    EngineStandInSettings fast = defaults;
     fast.step = Milliseconds { 5 };
-    EngineStandInSettings slow = usual;
+    EngineStandInSettings slow = defaults;
     slow.step = Milliseconds { 60 };
-    EngineStandInSettings rough = usual;
+    EngineStandInSettings rough = defaults;
     rough.stallChance = 0.02;
     rough.longestStall = Milliseconds { 500 };
-    return { { "default (20 ms, stalls to 250 ms in 0.4%)", usual }, { "fast engine (5 ms)", fast },
+    return { { "default (20 ms, stalls to 250 ms in 0.4%)", defaults }, { "fast engine (5 ms)", fast },
         { "slow engine (60 ms)", slow }, { "rough (stalls to 500 ms in 2%)", rough } };
 }
 
--- a/bench/LimitStudy.cpp
+++ b/bench/LimitStudy.cpp
@@ -22,10 +22,10 @@
 constexpr std::array<double, 5> limits { 0.2, 1, 2.3, 20, 200 };
 constexpr std::uint64_t seedsPerCell = 5;
 
-void printTable(LimitEnforcement way, bool hasFaults)
+void printTable(LimitEnforcement enforcement, bool hasFaults)
 {
     std::printf("\n%s, %s faults: worst four seconds as a share of the allowed requests / use / calls a second\n",
-        std::string(nameIn(limitEnforcementNames, way)).c_str(), hasFaults ? "with" : "without");
+        std::string(nameIn(limitEnforcementNames, enforcement)).c_str(), hasFaults ? "with" : "without");
     std::printf("%8s %10s", "a second", "demand");
     for (const auto vms : vmCounts)
         std::printf("  %8zu VMs        ", vms);
@@ -36,7 +36,7 @@
             for (const auto vms : vmCounts) {
                 LimitOutcome sum;
                 for (std::uint64_t seed = 1; seed <= seedsPerCell; ++seed) {
-                    const auto outcome = simulateLimit({ .way = way,
+                    const auto outcome = simulateLimit({ .enforcement = enforcement,
                         .vmCount = vms,
                         .perSecond = limit,
                         .isUneven = isUneven,
@@ -55,7 +55,7 @@
 
 void simulateMany(std::uint64_t count)
 {
-    std::uint64_t broken = 0;
+    std::uint64_t exceeded = 0;
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= count; ++seed) {
         const auto outcome = simulateLimit({ .vmCount = vmCounts.at(seed % vmCounts.size()),
@@ -64,22 +64,22 @@
             .seed = seed });
         worst = std::max(worst, outcome.worstShare);
         if (outcome.worstExcess > 0) {
-            ++broken;
+            ++exceeded;
             std::printf("seed %llu: %.1f requests more than allowed\n", static_cast<unsigned long long>(seed),
                 outcome.worstExcess);
         }
     }
     std::printf("%llu scenarios with faults: %llu exceed the limit, worst four seconds %.2f of the allowed requests\n",
-        static_cast<unsigned long long>(count), static_cast<unsigned long long>(broken), worst);
+        static_cast<unsigned long long>(count), static_cast<unsigned long long>(exceeded), worst);
 }
 
 } // namespace
 
 int main(int argc, char** argv)
 {
-    for (const auto way : { LimitEnforcement::EvenShare, LimitEnforcement::DemandShares, LimitEnforcement::SingleKeeper,
-             LimitEnforcement::BackOff })
-        printTable(way, false);
+    for (const auto enforcement : { LimitEnforcement::EvenShare, LimitEnforcement::DemandShares,
+             LimitEnforcement::SingleKeeper, LimitEnforcement::BackOff })
+        printTable(enforcement, false);
     printTable(LimitEnforcement::SingleKeeper, true);
     simulateMany(argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1000);
     return 0;
--- a/bench/RolloutStudy.cpp
+++ b/bench/RolloutStudy.cpp
@@ -17,8 +17,8 @@
 struct Row {
     int wrong { 0 };
     int undecided { 0 };
-    int broken { 0 };
-    unsigned brokenSeed { 0 };
+    int violations { 0 };
+    unsigned violationSeed { 0 };
     std::vector<int> excess;
     std::vector<std::int64_t> afterFifty;
     std::vector<std::int64_t> decidedAfter;
@@ -42,8 +42,8 @@
         row.undecided += outcome.decision == RolloutDecision::Undecided ? 1 : 0;
         row.wrong += outcome.decision == (isBad ? RolloutDecision::Completed : RolloutDecision::RolledBack) ? 1 : 0;
         if (!outcome.violation.empty()) {
-            ++row.broken;
-            row.brokenSeed = scenario.seed;
+            ++row.violations;
+            row.violationSeed = scenario.seed;
         }
         row.excess.push_back(100 * outcome.exposed / std::max(outcome.allowedExposure, 1));
         row.afterFifty.push_back(outcome.lastSentAfterFiftyBad.count());
@@ -66,13 +66,13 @@
         for (const double rate : { 10.0, 46.0, 100.0, 400.0, 1500.0 }) {
             RolloutScenario scenario { .vmCount = vmCount, .requestsPerSecond = rate, .fault = fault.value };
             if (scenario.fault == VersionFault::FlakyBothSides)
-                scenario.usualBadShare = 0.15;
+                scenario.baselineBadShare = 0.15;
             const auto row = simulateRow(scenario, count, firstSeed);
             std::printf("%-24s %8.0f %6d %9d %7d %6d %13d %13lld %14lld %s\n", std::string(fault.name).c_str(), rate,
-                count, row.wrong, row.undecided, row.broken, quantile(row.excess, 0.99),
+                count, row.wrong, row.undecided, row.violations, quantile(row.excess, 0.99),
                 static_cast<long long>(quantile(row.afterFifty, 0.99)),
                 static_cast<long long>(quantile(row.decidedAfter, 0.5)),
-                row.broken ? ("seed " + std::to_string(row.brokenSeed)).c_str() : "");
+                row.violations ? ("seed " + std::to_string(row.violationSeed)).c_str() : "");
         }
     }
     return 0;
--- a/src/daemon/Cluster.cpp
+++ b/src/daemon/Cluster.cpp
@@ -133,10 +133,10 @@
     std::shared_ptr<JournalLink> link;
     {
         const std::lock_guard lock(m_mutex);
-        const auto placed = m_replicaVms.find(&source);
-        if (placed == m_replicaVms.end())
+        const auto replicaEntry = m_replicaVms.find(&source);
+        if (replicaEntry == m_replicaVms.end())
             return;
-        const auto entry = m_links.find(placed->second);
+        const auto entry = m_links.find(replicaEntry->second);
         if (entry == m_links.end())
             return;
         link = entry->second.journal;
@@ -149,13 +149,13 @@
     std::shared_ptr<JournalLink> link;
     {
         const std::lock_guard lock(m_mutex);
-        const auto placed = m_replicaVms.find(&source);
-        if (placed == m_replicaVms.end())
+        const auto replicaEntry = m_replicaVms.find(&source);
+        if (replicaEntry == m_replicaVms.end())
             return;
-        const auto entry = m_links.find(placed->second);
+        const auto entry = m_links.find(replicaEntry->second);
         if (entry != m_links.end())
             link = entry->second.journal;
-        m_replicaVms.erase(placed);
+        m_replicaVms.erase(replicaEntry);
     }
     if (link)
         link->remove(&source);
@@ -167,11 +167,11 @@
         const std::lock_guard lock(m_mutex);
         if (m_links.count(vm)) {
             auto& watchers = m_watchers[vm];
-            const auto isGone = [](const std::weak_ptr<PeerWatcher>& other) { return other.expired(); };
+            const auto isExpired = [](const std::weak_ptr<PeerWatcher>& other) { return other.expired(); };
             // Expired watchers are removed each time the list has doubled, so that each watcher is checked only a few
             // times.
             if (watchers.size() == watchers.capacity())
-                watchers.erase(std::remove_if(watchers.begin(), watchers.end(), isGone), watchers.end());
+                watchers.erase(std::remove_if(watchers.begin(), watchers.end(), isExpired), watchers.end());
             watchers.push_back(watcher);
             return;
         }
--- a/src/daemon/CompletionReply.cpp
+++ b/src/daemon/CompletionReply.cpp
@@ -69,7 +69,7 @@
 {
     const std::lock_guard lock(m_mutex);
     m_isAdvancePending = false;
-    if (m_isAnswered || m_isStreaming)
+    if (m_isOver || m_isStreaming)
         return;
     const auto start = m_options.wantsStream ? m_position : 0;
     const auto limit = m_options.wantsStream ? 1 : std::numeric_limits<std::size_t>::max() - start;
@@ -94,11 +94,11 @@
 
 void CompletionReply::beginStream()
 {
-    HttpResponse head;
-    head.headers.add("Content-Type", "text/event-stream");
-    head.headers.add("Cache-Control", "no-store");
+    HttpResponse header;
+    header.headers.add("Content-Type", "text/event-stream");
+    header.headers.add("Cache-Control", "no-store");
     m_isStreaming = true;
-    m_exchange->stream(std::move(head), shared_from_this());
+    m_exchange->stream(std::move(header), shared_from_this());
 }
 
 void CompletionReply::refuse(const GenerationError& error)
@@ -111,7 +111,7 @@
 
 void CompletionReply::finish(unsigned status)
 {
-    m_isAnswered = true;
+    m_isOver = true;
     m_context.metrics.countRequest(requestKind, status);
     m_generation->detach(*this);
 }
@@ -119,9 +119,9 @@
 void CompletionReply::callerDisconnected()
 {
     const std::lock_guard lock(m_mutex);
-    if (m_isAnswered)
+    if (m_isOver)
         return;
-    m_isAnswered = true;
+    m_isOver = true;
     logInfo(LogComponent::Caller,
         "the caller of generation " + m_generation->id() + " disconnected at position " + std::to_string(m_position)
             + ".");
--- a/src/daemon/CompletionReply.h
+++ b/src/daemon/CompletionReply.h
@@ -57,7 +57,7 @@
     std::mutex m_mutex;
     // Both members below are guarded by the lock.
     std::size_t m_position;
-    bool m_isAnswered { false };
+    bool m_isOver { false };
 };
 
 } // namespace lupinknot::internal
--- a/src/daemon/ForwardedRequest.cpp
+++ b/src/daemon/ForwardedRequest.cpp
@@ -32,8 +32,8 @@
     m_exchange->onPeerDisconnected([self = shared_from_this()] { self->callerDisconnected(); });
     const auto& incoming = m_exchange->request();
     HttpRequest outgoing { incoming.method, incoming.target, {}, incoming.body };
-    const auto kept = incoming.headers.endToEnd();
-    for (const auto& field : kept.fields()) {
+    const auto endToEndHeaders = incoming.headers.endToEnd();
+    for (const auto& field : endToEndHeaders.fields()) {
         if (field.name != hopsHeader)
             outgoing.headers.add(field.name, field.value);
     }
--- a/src/daemon/LiveGeneration.cpp
+++ b/src/daemon/LiveGeneration.cpp
@@ -114,8 +114,9 @@
 void LiveGeneration::detach(const GenerationWatcher& watcher)
 {
     const std::lock_guard lock(m_mutex);
-    const auto isGone = [&watcher](const std::shared_ptr<GenerationWatcher>& other) { return other.get() == &watcher; };
-    m_watchers.erase(std::remove_if(m_watchers.begin(), m_watchers.end(), isGone), m_watchers.end());
+    const auto isDetached
+        = [&watcher](const std::shared_ptr<GenerationWatcher>& other) { return other.get() == &watcher; };
+    m_watchers.erase(std::remove_if(m_watchers.begin(), m_watchers.end(), isDetached), m_watchers.end());
     if (m_watchers.empty() && !m_driver.isOver())
         lastWatcherDetached();
 }
--- a/src/daemon/ServiceCall.cpp
+++ b/src/daemon/ServiceCall.cpp
@@ -96,18 +96,18 @@
         startNextAttempt();
         return;
     }
-    const bool isLate = failure == HttpCallFailure::TimedOut;
+    const bool hasTimedOut = failure == HttpCallFailure::TimedOut;
     const auto outcome = m_mayHaveRun ? RunOutcome::Unknown : RunOutcome::NotRun;
-    refuse({ isLate ? 504U : 502U, isLate ? "deadline_exceeded" : "service_lost",
+    refuse({ hasTimedOut ? 504U : 502U, hasTimedOut ? "deadline_exceeded" : "service_lost",
         "the call to the service failed: " + std::string(nameIn(httpCallFailureNames, failure)), "", outcome, {} });
 }
 
 void ServiceCall::startNextAttempt()
 {
     ++m_attempts;
-    const auto left = m_deadline - m_context.clock.now();
+    const auto timeLeft = m_deadline - m_context.clock.now();
     m_endpoint = m_context.endpoints.chooseAmong(m_service.endpoints, { subject(), m_failedEndpoints });
-    if (!m_endpoint || left <= Milliseconds::zero()) {
+    if (!m_endpoint || timeLeft <= Milliseconds::zero()) {
         const auto outcome = m_mayHaveRun ? RunOutcome::Unknown : RunOutcome::NotRun;
         refuse({ 503, "no_endpoint", "no endpoint of the service can take the call", "", outcome, retryAfter });
         return;
@@ -117,7 +117,7 @@
     const auto attemptsLeft = m_repeatable ? m_service.maxAttempts - m_attempts + 1 : 1;
     m_endpoint->workStarted();
     m_call = m_context.calls.start(m_endpoint->settings().socketAddress(), endpointRequest(),
-        std::max(minAttemptTimeout, left / attemptsLeft), shared_from_this());
+        std::max(minAttemptTimeout, timeLeft / attemptsLeft), shared_from_this());
 }
 
 HttpRequest ServiceCall::endpointRequest() const
--- a/src/load/LoadReport.cpp
+++ b/src/load/LoadReport.cpp
@@ -39,13 +39,13 @@
 
 bool LoadReport::hasPassed() const
 {
-    const bool isCorrect = whole == requests && !missingTokens && !repeatedTokens && !mixed;
+    const bool isCorrect = completeOutputs == requests && !missingTokens && !repeatedTokens && !mixed;
     return isCorrect && !doubleRuns && !falseNotRun && !errors && !quickErrors && problems.empty();
 }
 
 std::string LoadReport::json() const
 {
-    const Json report { { "scenario", scenario }, { "requests", requests }, { "whole", whole },
+    const Json report { { "scenario", scenario }, { "requests", requests }, { "whole", completeOutputs },
         { "missing_tokens", missingTokens }, { "repeated_tokens", repeatedTokens }, { "mixed", mixed },
         { "double_runs", doubleRuns }, { "false_not_run", falseNotRun }, { "errors", errors },
         { "reconnects", reconnects }, { "resume_ms", quantilesJson(resume) },
--- a/src/load/LoadReport.h
+++ b/src/load/LoadReport.h
@@ -16,7 +16,7 @@
 struct LoadReport {
     std::string scenario;
     std::size_t requests { 0 };
-    std::size_t whole { 0 };
+    std::size_t completeOutputs { 0 };
     std::size_t missingTokens { 0 };
     std::size_t repeatedTokens { 0 };
     std::size_t mixed { 0 };
--- a/src/load/LoadRun.cpp
+++ b/src/load/LoadRun.cpp
@@ -208,7 +208,7 @@
     if (result.hasDisconnected)
         return;
     ++m_report.requests;
-    m_report.whole += result.isComplete ? 1 : 0;
+    m_report.completeOutputs += result.isComplete ? 1 : 0;
     m_report.missingTokens += result.missing;
     if (!result.error.empty()) {
         ++m_report.errors;
--- a/src/load/Scenario.cpp
+++ b/src/load/Scenario.cpp
@@ -56,7 +56,7 @@
     std::cerr << "One caller requests a generation of " << longOutputTokens << " tokens; " << others
               << " other generations run at the same time.\n\n   ";
     run.startQuickCalls();
-    std::thread beside([&run] { run.runGenerations(others); });
+    std::thread background([&run] { run.runGenerations(others); });
     std::thread killer;
     auto caller = run.newCaller();
     caller.maxTokens = longOutputTokens;
@@ -74,7 +74,7 @@
     const auto result = run.runOne(std::move(caller));
     if (killer.joinable())
         killer.join();
-    beside.join();
+    background.join();
     std::cerr << "\n\n"
               << (result.isComplete ? "The output is complete: " : "THE OUTPUT IS INCOMPLETE OR WRONG: ")
               << result.delivered << " tokens received.\n";
@@ -159,7 +159,7 @@
 
 std::vector<BadInput> badInputs()
 {
-    const std::string good = R"({"model": "story", "prompt": "a b", "max_tokens": 4})";
+    const std::string validBody = R"({"model": "story", "prompt": "a b", "max_tokens": 4})";
     return {
         { "bad JSON", "{\"model\": ", {}, 400, "body" },
         { "bad UTF-8", "{\"model\": \"story\", \"prompt\": \"\xff\xfe\"}", {}, 400, "body" },
@@ -171,11 +171,11 @@
         { "too many tokens", R"({"model": "story", "prompt": "a", "max_tokens": 99999999})", {}, 400, "max_tokens" },
         { "zero tokens", R"({"model": "story", "prompt": "a", "max_tokens": 0})", {}, 400, "max_tokens" },
         { "an unknown field", R"({"model": "story", "prompt": "a", "colour": 1})", {}, 400, "colour" },
-        { "a bad flag", good, { { "Lupinknot-Repeatable", "maybe" } }, 400, "Lupinknot-Repeatable" },
-        { "a bad deadline", good, { { "Lupinknot-Deadline-Ms", "-1" } }, 400, "Lupinknot-Deadline-Ms" },
-        { "a bad event id", good, { { "Idempotency-Key", "k" }, { "Last-Event-ID", "x" } }, 400, "Last-Event-ID" },
+        { "a bad flag", validBody, { { "Lupinknot-Repeatable", "maybe" } }, 400, "Lupinknot-Repeatable" },
+        { "a bad deadline", validBody, { { "Lupinknot-Deadline-Ms", "-1" } }, 400, "Lupinknot-Deadline-Ms" },
+        { "a bad event id", validBody, { { "Idempotency-Key", "k" }, { "Last-Event-ID", "x" } }, 400, "Last-Event-ID" },
         { "a body too large", std::string(6 * mebibyte, ' '), {}, 413, "body" },
-        { "a header too large", good, { { "X-Flood", std::string(100000, 'x') } }, 431, "header" },
+        { "a header too large", validBody, { { "X-Flood", std::string(100000, 'x') } }, 431, "header" },
     };
 }
 
@@ -183,7 +183,7 @@
 void runBadInput(LoadRun& run)
 {
     run.startQuickCalls();
-    std::thread beside([&run] { run.runGenerations(run.options().generations); });
+    std::thread background([&run] { run.runGenerations(run.options().generations); });
     for (const auto& input : badInputs()) {
         HttpRequest request { "POST", "/v1/completions", input.headers, input.body };
         request.headers.add("Content-Type", "application/json");
@@ -196,7 +196,7 @@
             std::string(input.what) + ": expected status " + std::to_string(input.status) + " and field " + input.field
                 + "; found " + std::to_string(result.response.status) + " " + result.response.body + result.message);
     }
-    beside.join();
+    background.join();
 }
 
 } // namespace
--- a/src/model/LimitModel.cpp
+++ b/src/model/LimitModel.cpp
@@ -42,7 +42,7 @@
 struct LimitSpan {
     Milliseconds from;
     std::optional<double> perSecond;
-    unsigned start;
+    unsigned endpointIncarnation;
 };
 
 struct Arrival {
@@ -61,16 +61,16 @@
     Milliseconds affectedUntil { 0 };
     unsigned incarnation { 0 };
     // The endpoint's incarnation that this VM knows, and when a response to this VM first stated a limit.
-    unsigned start { 0 };
+    unsigned endpointIncarnation { 0 };
     KnownLimit limit;
     std::optional<Milliseconds> limitKnownAt;
     Milliseconds noPermitUntil { 0 };
     LimitKeeper keeper;
-    LimitKeeper keeperAlone;
-    KeeperReachability watch;
+    LimitKeeper ownKeeper;
+    KeeperReachability reachability;
     Milliseconds startedAt { 0 };
     // Used when the limit is enforced without a limit keeper.
-    PermitSchedule own { Milliseconds { 0 } };
+    PermitSchedule ownSchedule { Milliseconds { 0 } };
     double ownRate { 0 };
     std::vector<Milliseconds> requests;
     double requestShare { 0 };
@@ -162,7 +162,7 @@
 Vm LimitSimulation::newVm(std::size_t number) const
 {
     Vm vm;
-    vm.keeperAlone = LimitKeeper(fractionOfName(m_names[number]));
+    vm.ownKeeper = LimitKeeper(fractionOfName(m_names[number]));
     vm.requestShare = 1.0 / static_cast<double>(m_scenario.vmCount);
     return vm;
 }
@@ -174,18 +174,18 @@
     if (!m_scenario.hasFaults)
         return;
     constexpr std::array<double, 4> factors { 0.3, 2, 0, 1 };
-    unsigned start = 0;
+    unsigned endpointIncarnation = 0;
     for (auto at = limitStartsAt + between(4000, 9000); at < simulatedTime; at += between(4000, 9000)) {
         const auto draw = randomUnit();
         if (draw < 0.2) {
-            m_spans.push_back({ at, std::nullopt, start });
+            m_spans.push_back({ at, std::nullopt, endpointIncarnation });
         } else if (draw < 0.4) {
             // The endpoint restarts under the same id and states a limit a little later.
-            m_spans.push_back({ at, std::nullopt, ++start });
-            m_spans.push_back({ at + between(300, 2000), m_scenario.perSecond, start });
+            m_spans.push_back({ at, std::nullopt, ++endpointIncarnation });
+            m_spans.push_back({ at + between(300, 2000), m_scenario.perSecond, endpointIncarnation });
         } else {
             const auto factor = factors.at(static_cast<std::size_t>(randomUnit() * factors.size()));
-            m_spans.push_back({ at, factor * m_scenario.perSecond, start });
+            m_spans.push_back({ at, factor * m_scenario.perSecond, endpointIncarnation });
         }
     }
 }
@@ -235,12 +235,15 @@
     return *std::prev(next);
 }
 
-std::string LimitSimulation::endpointName(std::size_t vm) const { return "e@" + std::to_string(m_vms[vm].start); }
+std::string LimitSimulation::endpointName(std::size_t vm) const
+{
+    return "e@" + std::to_string(m_vms[vm].endpointIncarnation);
+}
 
 LimitOutcome LimitSimulation::run()
 {
     scheduleNextRequest();
-    if (m_scenario.way == LimitEnforcement::DemandShares)
+    if (m_scenario.enforcement == LimitEnforcement::DemandShares)
         exchangeDemand();
     while (!m_events.empty() && m_events.top().at < simulatedTime) {
         const auto event = m_events.top();
@@ -269,11 +272,11 @@
     auto& vm = m_vms[number];
     if (!vm.isUp || m_now < vm.pausedUntil)
         return;
-    if (m_scenario.way == LimitEnforcement::DemandShares)
+    if (m_scenario.enforcement == LimitEnforcement::DemandShares)
         vm.requests.push_back(m_now);
     if (!knownLimit(vm))
         send(number);
-    else if (m_scenario.way != LimitEnforcement::SingleKeeper)
+    else if (m_scenario.enforcement != LimitEnforcement::SingleKeeper)
         sendBySchedule(number);
     else if (m_now < vm.noPermitUntil)
         refused(number);
@@ -299,18 +302,19 @@
     for (std::size_t i = 0; i < rank && m_keepers[i] != number; ++i) {
         const auto& name = m_names[m_keepers[i]];
         before.push_back(name);
-        if (!vm.watch.isSkipped(name, m_now)) {
+        if (!vm.reachability.isSkipped(name, m_now)) {
             ++m_calls;
-            vm.watch.noteAnswer(name, reaches(number, m_keepers[i]), m_now);
+            vm.reachability.noteAnswer(name, reaches(number, m_keepers[i]), m_now);
         }
     }
-    return vm.watch.shareAsSubstitute(before, m_now);
+    return vm.reachability.shareAsSubstitute(before, m_now);
 }
 
 void LimitSimulation::askForPermit(std::size_t number, std::size_t rank, Milliseconds begunAt)
 {
     auto& vm = m_vms[number];
-    while (rank < m_keepers.size() && m_keepers[rank] != number && vm.watch.isSkipped(m_names[m_keepers[rank]], m_now))
+    while (rank < m_keepers.size() && m_keepers[rank] != number
+        && vm.reachability.isSkipped(m_names[m_keepers[rank]], m_now))
         ++rank;
     const LimitReport report { knownLimit(vm), m_now - vm.limit.heardAt() };
     const PermitRequest request { endpointName(number), report,
@@ -324,7 +328,7 @@
         const auto part = LimitKeeper::substituteShare / static_cast<double>(m_scenario.vmCount);
         handlePermitAnswer(number, incarnation,
             rank < m_keepers.size() ? vm.keeper.ask(request, shareAt(number, rank), m_now)
-                                    : vm.keeperAlone.ask(request, part, m_now));
+                                    : vm.ownKeeper.ask(request, part, m_now));
         return;
     }
     ++m_calls;
@@ -333,17 +337,17 @@
         const auto keeper = m_keepers[rank];
         if (!reaches(number, keeper)) {
             after(permitCallTimeout, [this, number, rank, incarnation, begunAt] {
-                auto& asker = m_vms[number];
-                if (asker.incarnation != incarnation || !asker.isUp)
+                auto& requester = m_vms[number];
+                if (requester.incarnation != incarnation || !requester.isUp)
                     return;
-                asker.watch.noteAnswer(m_names[m_keepers[rank]], false, m_now);
+                requester.reachability.noteAnswer(m_names[m_keepers[rank]], false, m_now);
                 askForPermit(number, rank + 1, begunAt);
             });
             return;
         }
         const auto answer = m_vms[keeper].keeper.ask(request, shareAt(keeper, rank), m_now);
         after(between(1, 2), [this, number, keeper, incarnation, answer] {
-            m_vms[number].watch.noteAnswer(m_names[keeper], true, m_now);
+            m_vms[number].reachability.noteAnswer(m_names[keeper], true, m_now);
             handlePermitAnswer(number, incarnation, answer);
         });
     });
@@ -383,20 +387,20 @@
     auto& vm = m_vms[number];
     const auto limit = *knownLimit(vm);
     double rate = limit / static_cast<double>(m_scenario.vmCount);
-    if (m_scenario.way == LimitEnforcement::DemandShares)
+    if (m_scenario.enforcement == LimitEnforcement::DemandShares)
         rate = limit * vm.requestShare;
-    if (m_scenario.way == LimitEnforcement::BackOff) {
+    if (m_scenario.enforcement == LimitEnforcement::BackOff) {
         if (vm.ownRate <= 0)
             vm.ownRate = limit / 2;
         vm.ownRate = std::min(vm.ownRate, limit);
         rate = vm.ownRate;
     }
-    vm.own.setRate(rate * LimitKeeper::primaryShare, m_now);
-    if (vm.own.waitFor(m_now) > Milliseconds { 0 }) {
+    vm.ownSchedule.setRate(rate * LimitKeeper::primaryShare, m_now);
+    if (vm.ownSchedule.waitFor(m_now) > Milliseconds { 0 }) {
         refused(number);
         return;
     }
-    vm.own.take(m_now);
+    vm.ownSchedule.take(m_now);
     send(number);
 }
 
@@ -428,18 +432,18 @@
     after(between(1, 2), [this, number, sentAt, incarnation] {
         const auto& span = spanAt(m_now);
         auto& sender = m_vms[number];
-        if (sender.start != span.start) {
+        if (sender.endpointIncarnation != span.endpointIncarnation) {
             // The endpoint list shows the new incarnation.
-            sender.start = span.start;
+            sender.endpointIncarnation = span.endpointIncarnation;
             sender.limitKnownAt.reset();
             sender.limit = {};
         }
         const bool knowsLimit = sender.limitKnownAt && m_now - *sender.limitKnownAt >= knownAfter;
-        const bool isKept = span.perSecond && knowsLimit;
-        m_arrivals.push_back({ m_now, number, isKept, isKept && m_now >= sender.affectedUntil });
+        const bool mustKeepLimit = span.perSecond && knowsLimit;
+        m_arrivals.push_back({ m_now, number, mustKeepLimit, mustKeepLimit && m_now >= sender.affectedUntil });
         const auto isOld = [this](const Arrival& arrival) { return m_now - arrival.at >= Milliseconds { 1000 }; };
         const auto recent = std::find_if(m_arrivals.rbegin(), m_arrivals.rend(), isOld) - m_arrivals.rbegin();
-        const bool isRejected = m_scenario.way == LimitEnforcement::BackOff && span.perSecond
+        const bool isRejected = m_scenario.enforcement == LimitEnforcement::BackOff && span.perSecond
             && static_cast<double>(recent) > std::max(*span.perSecond, 1.0);
         after(responseTime, [this, number, incarnation, sentAt, span, isRejected] {
             handleResponse(number, incarnation, sentAt, span, isRejected);
@@ -451,7 +455,7 @@
     std::size_t number, unsigned incarnation, Milliseconds sentAt, const LimitSpan& stated, bool isRejected)
 {
     auto& vm = m_vms[number];
-    if (vm.incarnation != incarnation || !vm.isUp || vm.start != stated.start)
+    if (vm.incarnation != incarnation || !vm.isUp || vm.endpointIncarnation != stated.endpointIncarnation)
         return;
     if (m_now < vm.pausedUntil) {
         after(vm.pausedUntil - m_now, [this, number, incarnation, sentAt, stated, isRejected] {
@@ -467,7 +471,7 @@
     else
         vm.limitKnownAt.reset();
     vm.ownRate = isRejected ? vm.ownRate / 2 : vm.ownRate * 1.05;
-    if (change == LimitChange::None || m_scenario.way != LimitEnforcement::SingleKeeper)
+    if (change == LimitChange::None || m_scenario.enforcement != LimitEnforcement::SingleKeeper)
         return;
     for (const auto keeper : m_keepers) {
         m_calls += keeper != number;
--- a/src/model/LimitModel.h
+++ b/src/model/LimitModel.h
@@ -41,7 +41,7 @@
 };
 
 struct LimitScenario {
-    LimitEnforcement way { LimitEnforcement::SingleKeeper };
+    LimitEnforcement enforcement { LimitEnforcement::SingleKeeper };
     std::size_t vmCount { 7 };
     double perSecond { 1 };
     // Requests per second of all VMs, as a multiple of the limit; the model has a minimum rate.
--- a/src/model/RetryModel.cpp
+++ b/src/model/RetryModel.cpp
@@ -166,11 +166,11 @@
 
     void failZone(SimulatedVm& vm, int zone, int second)
     {
-        std::vector<SimulatedVm::Run> kept;
+        std::vector<SimulatedVm::Run> remaining;
         std::vector<SimulatedVm::Run> lost;
         for (const auto& run : vm.runs)
-            (run.zone == zone && chance() < m_scenario.lossShare ? lost : kept).push_back(run);
-        vm.runs = std::move(kept);
+            (run.zone == zone && chance() < m_scenario.lossShare ? lost : remaining).push_back(run);
+        vm.runs = std::move(remaining);
         for (const auto& run : lost) {
             if (retry(vm, RetryPurpose::Failover, run.requestedAt))
                 send(vm, run.requestedAt, second);
--- a/src/model/RolloutModel.cpp
+++ b/src/model/RolloutModel.cpp
@@ -21,7 +21,7 @@
 // The values that deployments use.
 const ExposureLimit limit;
 constexpr Milliseconds rollbackTimeLimit { 5000 };
-constexpr int badAnswersBeforeBound = 50;
+constexpr int badResponsesBeforeBound = 50;
 constexpr Milliseconds recoveryTime { 4000 };
 // The fleet runs for a while before the rollout is ordered.
 constexpr Milliseconds orderAt { 5000 };
@@ -59,9 +59,9 @@
     {
         for (std::size_t i = 0; i < m_vms.size(); ++i)
             m_vms[i].name = "vm-" + std::to_string(i);
-        const auto whole = static_cast<int>(m_scenario.duration / step);
+        const auto durationInSteps = static_cast<int>(m_scenario.duration / step);
         if (m_scenario.hasFaults && chance(0.4)) {
-            m_storeUnreachableFrom = m_orderStep + randomBelow(whole);
+            m_storeUnreachableFrom = m_orderStep + randomBelow(durationInSteps);
             m_storeUnreachableUntil = m_storeUnreachableFrom + randomBelow(60);
         }
         m_callLossShare = m_scenario.hasFaults ? 0.1 * randomUnit() : 0;
@@ -188,7 +188,7 @@
             if (m_decision == RolloutDecision::RolledBack && now() - m_decidedAt > rollbackTimeLimit)
                 violate("a request went to the candidate too long after its rollback");
         }
-        const bool isBad = chance(isCandidate ? candidateBadShare(route) : m_scenario.usualBadShare);
+        const bool isBad = chance(isCandidate ? candidateBadShare(route) : m_scenario.baselineBadShare);
         const bool isSlow = isBad && m_scenario.fault == VersionFault::Slow;
         const auto answerAt = m_step + (isSlow ? slowResponseSteps : responseSteps);
         m_pending.push_back({ answerAt, index, route, version, isBad ? AnswerQuality::Bad : AnswerQuality::Good });
@@ -203,24 +203,24 @@
             || (scenario.fault == VersionFault::FailsLate && isLate)
             || (scenario.fault == VersionFault::FailsUnderLoad && loadFactor() > 1)
             || (scenario.fault == VersionFault::FailsOnOneRoute && route == "r0");
-        return hasDefect ? std::max(scenario.badShare, scenario.usualBadShare) : scenario.usualBadShare;
+        return hasDefect ? std::max(scenario.badShare, scenario.baselineBadShare) : scenario.baselineBadShare;
     }
 
     void processResponses()
     {
-        std::vector<PendingResponse> rest;
+        std::vector<PendingResponse> remaining;
         for (const auto& answer : m_pending) {
             if (answer.atStep > m_step) {
-                rest.push_back(answer);
+                remaining.push_back(answer);
                 continue;
             }
             const bool isBad = answer.quality == AnswerQuality::Bad;
-            if (isBad && answer.version == RunnerVersion::Candidate && ++m_badAnswers == badAnswersBeforeBound)
+            if (isBad && answer.version == RunnerVersion::Candidate && ++m_badResponses == badResponsesBeforeBound)
                 m_fiftyBadAt = now();
             if (auto& rollout = m_vms[answer.vm].rollout)
                 rollout->noteAnswer(answer.route, answer.version, answer.quality);
         }
-        m_pending = std::move(rest);
+        m_pending = std::move(remaining);
     }
 
     void reportToAggregators()
@@ -309,7 +309,7 @@
     double m_callLossShare { 0 };
     std::vector<PendingResponse> m_pending;
     int m_requests { 0 };
-    int m_badAnswers { 0 };
+    int m_badResponses { 0 };
     Milliseconds m_fiftyBadAt { 0 };
     Milliseconds m_lastSent { 0 };
     RolloutDecision m_decision { RolloutDecision::Undecided };
--- a/src/model/RolloutModel.h
+++ b/src/model/RolloutModel.h
@@ -54,7 +54,7 @@
     // Share of bad responses of the candidate where its defect shows.
     double badShare { 0.4 };
     // Share of bad responses of both versions apart from the defect.
-    double usualBadShare { 0.01 };
+    double baselineBadShare { 0.01 };
     double failsFromSecond { 4 };
     Milliseconds duration { 12000 };
     // Randomly kills, pauses and disconnects VMs, loses calls, and makes the store unreachable.
--- a/src/standin/EngineStandIn.cpp
+++ b/src/standin/EngineStandIn.cpp
@@ -18,7 +18,7 @@
 constexpr std::string_view streamsPath = "/v1/streams/";
 constexpr std::int64_t microsecondsInMillisecond = 1000;
 constexpr int exitKilled = 137;
-constexpr std::size_t maxKept = 10000;
+constexpr std::size_t maxAttachableStreams = 10000;
 
 HttpResponse jsonResponse(const json& body) { return { 200, { { "Content-Type", "application/json" } }, body.dump() }; }
 
@@ -158,7 +158,7 @@
 
     const auto stream = std::make_shared<EngineStream>(std::move(request), m_prefillFreeAt);
     m_streams.push_back(stream);
-    if (stream->request().keepOnDisconnect > Milliseconds::zero() && m_attachableStreams.size() < maxKept)
+    if (stream->request().keepOnDisconnect > Milliseconds::zero() && m_attachableStreams.size() < maxAttachableStreams)
         m_attachableStreams[stream->request().id] = stream;
     attach(stream, exchange, 0);
 }
--- a/src/standin/PlatformStandIn.cpp
+++ b/src/standin/PlatformStandIn.cpp
@@ -63,17 +63,17 @@
         delay = m_delay;
     }
     if (delay <= Milliseconds::zero()) {
-        answer(exchange);
+        dispatch(exchange);
         return;
     }
     const auto timer = std::make_shared<boost::asio::steady_timer>(m_server.ioContext(), delay);
     timer->async_wait([this, exchange, timer](boost::system::error_code error) {
         if (!error)
-            answer(exchange);
+            dispatch(exchange);
     });
 }
 
-void PlatformStandIn::answer(const std::shared_ptr<HttpExchange>& exchange)
+void PlatformStandIn::dispatch(const std::shared_ptr<HttpExchange>& exchange)
 {
     const auto& request = exchange->request();
     const auto path = request.path();
--- a/src/standin/PlatformStandIn.h
+++ b/src/standin/PlatformStandIn.h
@@ -36,7 +36,7 @@
     };
 
     void handle(const std::shared_ptr<HttpExchange>&);
-    void answer(const std::shared_ptr<HttpExchange>&);
+    void dispatch(const std::shared_ptr<HttpExchange>&);
     HttpResponse list() const;
     HttpResponse readRow(const std::string& key) const;
     HttpResponse writeRow(const std::string& key, const std::string& expected, const std::string& value);
--- a/test/DaemonTest.cpp
+++ b/test/DaemonTest.cpp
@@ -170,11 +170,11 @@
     cluster.start();
     const auto first = cluster.run(cluster.caller("k"));
     const auto body = R"({"model":"story","prompt":[11,12,13],"max_tokens":20,"stream":true})";
-    const auto rest = cluster.post(
+    const auto remainder = cluster.post(
         "/v1/completions", body, { { "Idempotency-Key", "k" }, { "Last-Event-ID", first.generation + ":18" } });
-    STRCMP_CONTAINS(("id: " + first.generation + ":19\n").c_str(), rest.response.body.c_str());
-    CHECK(rest.response.body.find(":18\n") == std::string::npos);
-    STRCMP_CONTAINS("[DONE]", rest.response.body.c_str());
+    STRCMP_CONTAINS(("id: " + first.generation + ":19\n").c_str(), remainder.response.body.c_str());
+    CHECK(remainder.response.body.find(":18\n") == std::string::npos);
+    STRCMP_CONTAINS("[DONE]", remainder.response.body.c_str());
 }
 
 TEST(Daemon, RejectsAPositionThatItDoesNotHold)
