--- a/src/daemon/Cluster.cpp
+++ b/src/daemon/Cluster.cpp
@@ -13,8 +13,8 @@
 
 constexpr Milliseconds queryTimeout { 200 };
 constexpr Milliseconds joinPollInterval { 5 };
-// All VMs in the settings form one fixed view; when the VM that runs a record is lost, the record stays with its
-// replica.
+// All VMs in the settings form one fixed view. When the VM that runs a generation is lost, the replica keeps its
+// record.
 constexpr std::uint64_t staticEpoch = 1;
 
 PeerNetworkSettings networkSettings(
@@ -92,7 +92,7 @@
         return;
     }
     if (const auto placement = placeByOwnRecord(key)) {
-        // The runner may have moved its journal and left an older record here, so the other VMs are asked first.
+        // The runner may have moved its journal and left an older record here, so the other VMs are queried first.
         if (placement->kind == KeyPlacement::Kind::TakeOver)
             queryPeers(key, std::move(decide));
         else
@@ -133,10 +133,10 @@
     std::shared_ptr<JournalLink> link;
     {
         const std::lock_guard lock(m_mutex);
-        const auto placed = m_replicaVms.find(&source);
-        if (placed == m_replicaVms.end())
+        const auto replicaEntry = m_replicaVms.find(&source);
+        if (replicaEntry == m_replicaVms.end())
             return;
-        const auto entry = m_links.find(placed->second);
+        const auto entry = m_links.find(replicaEntry->second);
         if (entry == m_links.end())
             return;
         link = entry->second.journal;
@@ -149,13 +149,13 @@
     std::shared_ptr<JournalLink> link;
     {
         const std::lock_guard lock(m_mutex);
-        const auto placed = m_replicaVms.find(&source);
-        if (placed == m_replicaVms.end())
+        const auto replicaEntry = m_replicaVms.find(&source);
+        if (replicaEntry == m_replicaVms.end())
             return;
-        const auto entry = m_links.find(placed->second);
+        const auto entry = m_links.find(replicaEntry->second);
         if (entry != m_links.end())
             link = entry->second.journal;
-        m_replicaVms.erase(placed);
+        m_replicaVms.erase(replicaEntry);
     }
     if (link)
         link->remove(&source);
@@ -167,11 +167,11 @@
         const std::lock_guard lock(m_mutex);
         if (m_links.count(vm)) {
             auto& watchers = m_watchers[vm];
-            const auto isGone = [](const std::weak_ptr<PeerWatcher>& other) { return other.expired(); };
+            const auto isExpired = [](const std::weak_ptr<PeerWatcher>& other) { return other.expired(); };
             // Expired watchers are removed each time the list has doubled, so that each watcher is checked only a few
             // times.
             if (watchers.size() == watchers.capacity())
-                watchers.erase(std::remove_if(watchers.begin(), watchers.end(), isGone), watchers.end());
+                watchers.erase(std::remove_if(watchers.begin(), watchers.end(), isExpired), watchers.end());
             watchers.push_back(watcher);
             return;
         }
@@ -455,7 +455,7 @@
     if (item.has_open()) {
         auto record = recordOf(peer, item.open());
         const auto key = record.request.key;
-        // This VM may run the key itself, for a caller who came while the two VMs could not reach each other.
+        // This VM may run the key itself, for a caller who connected while the two VMs could not reach each other.
         result = m_runsKey(key) ? JournalResult::Refused : m_store.open(epoch, std::move(record));
         const std::lock_guard lock(m_mutex);
         m_incomingJournals[peer.vm].streams[item.handle()] = { key, 0 };
@@ -511,8 +511,8 @@
     answer.set_id(envelope.query().id());
     answer.set_is_runner(m_runsKey(key));
     const auto record = m_store.find(key);
-    // A record of the querying VM itself counts if it dates from before that VM's restart. Since its restart, that VM
-    // knows best whether it has released the key.
+    // A record that the querying VM journaled since its last start is ignored: that VM itself knows whether it has
+    // released the key. A record from before its restart is reported.
     const bool isOwnRecordOfPeer = record && record->runner == ViewMember { peer.vm, peer.incarnation };
     answer.set_is_known(answer.is_runner() || (record && !isOwnRecordOfPeer));
     answer.set_length(record ? record->tokens.size() : 0);
--- a/src/daemon/LiveGeneration.cpp
+++ b/src/daemon/LiveGeneration.cpp
@@ -114,8 +114,9 @@
 void LiveGeneration::detach(const GenerationWatcher& watcher)
 {
     const std::lock_guard lock(m_mutex);
-    const auto isGone = [&watcher](const std::shared_ptr<GenerationWatcher>& other) { return other.get() == &watcher; };
-    m_watchers.erase(std::remove_if(m_watchers.begin(), m_watchers.end(), isGone), m_watchers.end());
+    const auto isDetached
+        = [&watcher](const std::shared_ptr<GenerationWatcher>& other) { return other.get() == &watcher; };
+    m_watchers.erase(std::remove_if(m_watchers.begin(), m_watchers.end(), isDetached), m_watchers.end());
     if (m_watchers.empty() && !m_driver.isOver())
         lastWatcherDetached();
 }
@@ -412,7 +413,7 @@
 
 std::string LiveGeneration::streamId(AttemptNumber attempt) const { return m_id + ":" + std::to_string(attempt); }
 
-// Tells the engine to stop a stream, because it may keep streams running without a connection.
+// Cancels a stream on its engine, because an engine may keep streams running without a connection.
 void LiveGeneration::stopStream(const EndpointSettings& endpoint, const std::string& stream)
 {
     class IgnoringListener final : public HttpCallListener {
--- a/src/load/LoadRun.cpp
+++ b/src/load/LoadRun.cpp
@@ -166,7 +166,8 @@
 void LoadRun::expectEngineRuns(std::size_t requests, std::size_t needed)
 {
     m_report.doubleRuns += requests > needed ? requests - needed : 0;
-    expect(requests >= needed, "engines received fewer requests than needed: " + std::to_string(requests));
+    expect(requests >= needed,
+        "engines received fewer requests than the generations need; found " + std::to_string(requests));
 }
 
 void LoadRun::expect(bool condition, const std::string& problem)
@@ -207,7 +208,7 @@
     if (result.hasDisconnected)
         return;
     ++m_report.requests;
-    m_report.whole += result.isComplete ? 1 : 0;
+    m_report.completeOutputs += result.isComplete ? 1 : 0;
     m_report.missingTokens += result.missing;
     if (!result.error.empty()) {
         ++m_report.errors;
