--- a/include/lupinknot/AttemptHost.h
+++ b/include/lupinknot/AttemptHost.h
@@ -18,7 +18,7 @@
     std::shared_ptr<EndpointLiveness> liveness;
 };
 
-// Asks the host to run the rest of a generation on an endpoint.
+// A request to the host to run the rest of a generation on an endpoint.
 struct AttemptOrder {
     AttemptNumber number;
     EndpointName endpoint;
@@ -55,7 +55,7 @@
     // Chooses an endpoint, if possible none of those to avoid. Empty when no endpoint can take work now.
     virtual std::optional<EndpointChoice> chooseEndpoint(const std::vector<EndpointName>& avoid) = 0;
     virtual void startAttempt(const AttemptOrder&) = 0;
-    // Stops the attempt's work on its endpoint. The driver refuses whatever still arrives from it.
+    // Stops the attempt's work on its endpoint. The driver refuses all that still arrives from the attempt.
     virtual void cancelAttempt(AttemptNumber) = 0;
     virtual void attemptEnded(const AttemptEnd&) = 0;
     virtual void resumed(const ResumeReport&) = 0;
--- a/include/lupinknot/ManualClock.h
+++ b/include/lupinknot/ManualClock.h
@@ -1,4 +1,4 @@
-// A clock that advances only when told to, for tests and simulations.
+// A clock that advances only on request, for tests and simulations.
 #pragma once
 
 #include "lupinknot/Clock.h"
--- a/include/lupinknot/RecoveryPolicy.h
+++ b/include/lupinknot/RecoveryPolicy.h
@@ -21,7 +21,7 @@
 struct RecoverySettings {
     // Maximum number of attempts of one generation. An attempt that was rejected before it started does not count.
     unsigned maxAttempts { 12 };
-    // How long a generation waits for an endpoint while none can take it.
+    // How long a generation waits while no endpoint can take it.
     Milliseconds endpointWait { 2000 };
     // Time between two tries to choose an endpoint.
     Milliseconds endpointRetryInterval { 10 };
--- a/src/admission/AttemptAdmission.h
+++ b/src/admission/AttemptAdmission.h
@@ -1,5 +1,5 @@
-// Decides whether a request may make another attempt, and whether it waits or is refused when it may not or when no
-// endpoint accepts it.
+// Decides whether a request may make another attempt. If it may not, or if no endpoint accepts the request, decides
+// whether the request waits or is refused.
 //
 // Load patterns:
 // - Endpoints fail, reject requests or stop responding, and every affected request tries another endpoint at once. Some
@@ -7,8 +7,8 @@
 // - No endpoint accepts a request: all are full, unreachable, in back-off (requested with Retry-After) or rate limited.
 //   Requests with enough time left wait; the others are refused at once with a Retry-After.
 //
-//     const auto verdict = decideAttempt(state);
-//     if (verdict != AttemptDecision::Allowed) refuse(refusalAfter(verdict, state.possibleRuns));
+//     const auto decision = decideAttempt(state);
+//     if (decision != AttemptDecision::Allowed) refuse(refusalAfter(decision, state.possibleRuns));
 //     ...
 //     const auto wait = waitOrRefuse({ call, availability, medianCallTime, spread, reason }, now);
 //
@@ -38,14 +38,14 @@
 
 enum class AttemptDecision {
     Allowed,
-    Undecided, // Ask again soon: the quarantine has not yet decided on endpoints that were lost under the request.
+    Undecided, // To be decided again soon: recent losses under the request are not evaluated yet.
     Held, // The request is in quarantine because it crashes endpoints.
     RunsSpent, // No further run is allowed.
     RetriesSpent, // The retry budget is spent.
 };
 
 AttemptDecision decideAttempt(const AttemptState&);
-// True if the run limits alone permit one more attempt; ignores the quarantine.
+// True if the limit of runs permits one more attempt; ignores the quarantine.
 bool mayRunOnceMore(const AttemptState&);
 // The reason to report when the next attempt is not made.
 RefusalReason refusalAfter(AttemptDecision, unsigned possibleRuns);
--- a/src/admission/StartupWait.h
+++ b/src/admission/StartupWait.h
@@ -4,8 +4,8 @@
 // keeps sending requests. A VM has its configuration about 40 ms after its start, 70 ms at the 95th percentile, and 200
 // ms with 3,000 endpoints. A caller that is refused meanwhile spends its only retry on another VM that is starting too.
 //
-//     const auto decision = decideStartup({ startedAt, hasConfiguration, hasEndpoints }, { arrivedAt, callerTimeout },
-//     now); if (decision.action == StartupAction::Wait) ...         // Until decision.until at the latest.
+//     const auto decision = decideStartup(state, { arrivedAt, callerTimeout }, now);
+//     if (decision.action == StartupAction::Wait) ...         // Until decision.until at the latest.
 //
 // Pure functions of their arguments; thread-safe.
 #pragma once
@@ -30,9 +30,9 @@
 };
 
 enum class StartupAction {
-    Serve, // The VM has what it needs, or enough to go on with.
+    Serve, // The VM has both, or the configuration is known and the wait for endpoints is over.
     Wait, // The configuration or the endpoints are expected soon.
-    Refuse, // They are overdue: the VM probably cannot reach the store.
+    Refuse, // The configuration or the endpoints are overdue: the VM probably cannot reach the store.
 };
 
 struct StartupDecision {
--- a/src/admission/WaitForCapacity.h
+++ b/src/admission/WaitForCapacity.h
@@ -33,7 +33,7 @@
 struct WaitingCall {
     Milliseconds arrivedAt { 0 };
     Milliseconds deadline { 0 };
-    // How often it has waited so far.
+    // Number of times that the call has waited so far.
     unsigned rounds { 0 };
 };
 
@@ -63,7 +63,7 @@
 WaitDecision waitForAvailability(
     const WaitingCall&, Milliseconds timeUntilAvailable, Milliseconds medianCallTime, double spread, Milliseconds now);
 
-// Maximum share of its remaining time that a caller is told to wait; callers cut longer delays to this.
+// Maximum retry delay as a share of the caller's remaining time; callers cut longer delays to this.
 inline constexpr double maxRetryDelayShare = 1.0 / 3;
 // Full endpoints have free capacity again after a few calls. Callers are spread from 0.5 to 1.5 times this delay.
 inline constexpr Milliseconds retryDelayWhenFull { 250 };
@@ -72,8 +72,8 @@
 // random share of retryDelayWhenFull.
 Milliseconds retryDelayAfterBackOff(Milliseconds backOffTime, double spread);
 
-// Retry delay for a refused caller. Unreachable endpoints stay so for seconds, so the delay is then the longest that
-// the caller can use.
+// Retry delay for a refused caller. Endpoints remain unreachable for seconds, so the delay is then the longest that the
+// caller can use.
 Milliseconds callerRetryDelay(CapacityObstacle, Milliseconds timeLeft, double spread);
 
 } // namespace lupinknot::internal
--- a/src/admission/WaitingRequestLimit.h
+++ b/src/admission/WaitingRequestLimit.h
@@ -3,7 +3,7 @@
 // Load pattern: a surge of callers while nothing can be served. Each waiting request holds a connection and its body; a
 // VM has about 160 MB for everything.
 //
-//     if (room.enter(bytes)) ...                              // Call room.leave(bytes) when the wait ends.
+//     if (limit.enter(bytes)) ...                             // Call limit.leave(bytes) when the wait ends.
 //
 // Not thread-safe.
 #pragma once
--- a/src/core/SilenceDetector.cpp
+++ b/src/core/SilenceDetector.cpp
@@ -50,7 +50,7 @@
 };
 
 // Base of the detectors that learn. Recomputes the timeout once per a number of gaps instead of after each gap. Returns
-// the ceiling until it knows enough gaps.
+// the ceiling until there are enough gaps.
 class LearningDetector : public SilenceDetector {
 public:
     LearningDetector(SilenceBounds bounds, GapWindow window)
--- a/src/endpoint/EndpointAvailability.h
+++ b/src/endpoint/EndpointAvailability.h
@@ -1,4 +1,4 @@
-// When an endpoint that accepts no requests at present accepts one again.
+// The time at which an endpoint that accepts no requests at present accepts one again.
 #pragma once
 
 #include "lupinknot/Clock.h"
--- a/src/endpoint/EndpointSignals.h
+++ b/src/endpoint/EndpointSignals.h
@@ -1,12 +1,12 @@
-// What one incarnation of an endpoint (one run of its process) has told this VM about itself, and whether the VM may
-// send to it.
+// Signals that one incarnation of an endpoint (one run of its process) has sent to this VM: back-off and shutdown.
+// Decides whether the VM may send requests to the incarnation.
 //
-// An endpoint that rejects a request may ask this VM for a back-off with Retry-After; other VMs may go on sending. An
-// endpoint that is about to shut down says so in its answers; this holds for all VMs and is final for the incarnation.
+// An endpoint that rejects a request may request a back-off from this VM with Retry-After; other VMs may continue to
+// send requests. An endpoint that is about to shut down announces this in its answers; the announcement holds for all
+// VMs and is final for the incarnation.
 //
 //     signals.noteBackOff(time, now);
-//     if (signals.accepts(now)) ...               // If false: not before signals.backOffUntil(), or never if it
-//     leaves.
+//     if (signals.accepts(now)) ...               // If false: not before backOffUntil(), or never after a shutdown.
 //
 // A plain value without input or output; not thread-safe.
 #pragma once
--- a/src/limits/KeeperReachability.h
+++ b/src/limits/KeeperReachability.h
@@ -2,11 +2,12 @@
 // of them.
 //
 // Load pattern: the first keeper of an endpoint is killed, hangs or is cut off from some VMs while other VMs still
-// reach it. VMs that do not reach it ask the next keeper, so for a while two keepers issue permits for the same
-// endpoint.
+// reach it. VMs that do not reach it request permits from the next keeper, so for a while two keepers issue permits for
+// the same endpoint.
 //
-//     if (!watch.isSkipped(name, now)) ...                 // Ask it, then watch.noteAnswer(name, hasAnswered, now).
-//     const auto share = watch.shareAsSubstitute({ first }, now);
+//     if (!reachability.isSkipped(name, now)) ...          // Request a permit from the VM, then record the result:
+//     reachability.noteAnswer(name, hasAnswered, now);
+//     const auto share = reachability.shareAsSubstitute({ first }, now);
 //
 // Without input or output; not thread-safe.
 #pragma once
@@ -20,7 +21,7 @@
 
 class KeeperReachability {
 public:
-    // A keeper that has not answered is skipped for this long before it is asked again.
+    // A keeper that has not answered is skipped for this long before the next request to it.
     static constexpr Milliseconds skippedFor { 2000 };
     // A keeper that has not answered for this long is probably gone, and the permits that it issued have been used.
     static constexpr Milliseconds presumedGoneAfter { 4000 };
--- a/src/limits/KnownLimit.h
+++ b/src/limits/KnownLimit.h
@@ -3,7 +3,7 @@
 //
 // An overloaded endpoint states its limit in its answers and stops doing so when the overload ends, so the newest
 // answer holds. Answers may arrive out of order: an answer without a limit ends the limit only if its request was sent
-// after the limit was last heard.
+// after the limit was last received.
 //
 //     switch (limit.noteAnswer(perSecond, sentAt, now)) ...
 //     if (limit.perSecond()) ...
@@ -22,7 +22,7 @@
     Named,
     Changed,
     Ended,
-    Confirmed, // The same limit was heard again after a time in which no VM was known to have heard it.
+    Confirmed, // The same limit was stated again after a time in which no VM was known to have received it.
 };
 
 inline constexpr std::array<EnumName<LimitChange>, 5> limitChangeNames { {
@@ -35,17 +35,17 @@
 
 class KnownLimit {
 public:
-    // A limit that has not been heard for this long may have changed.
+    // A limit that no answer has stated for this long may have changed.
     static constexpr Milliseconds freshFor { 1000 };
 
     bool isFresh(Milliseconds now) const { return now - m_heardAt < freshFor; }
     // Empty if the endpoint states no limit.
     const std::optional<double>& perSecond() const { return m_perSecond; }
-    // When the limit, or that there is none, was last heard; 0 if never.
+    // When an answer last stated the limit, or that there is none; 0 if never.
     Milliseconds heardAt() const { return m_heardAt; }
     // Records the limit in an answer that arrives now to a request sent at `sentAt`.
     LimitChange noteAnswer(std::optional<double> perSecond, Milliseconds sentAt, Milliseconds now);
-    // Records what another VM heard at `heardAt`, if that is newer.
+    // Records the limit that another VM received at `heardAt`, if that is newer.
     LimitChange notePeerReport(std::optional<double> perSecond, Milliseconds heardAt);
 
 private:
--- a/src/limits/LimitKeeper.cpp
+++ b/src/limits/LimitKeeper.cpp
@@ -7,19 +7,20 @@
 
 namespace {
 
-// State of an endpoint that nobody has asked for is dropped after this time; VMs state its limit again when they ask.
+// The state of an endpoint is dropped when no VM has requested a permit or reported the limit for this long; requests
+// state the limit again.
 constexpr Milliseconds unusedStateLifetime { 60'000 };
-// Bounds of the spacing at which VMs without a permit are told to ask again: with 300 VMs, 40 ms are 25 questions a
-// second.
+// Bounds of the spacing at which VMs without a permit should repeat their requests: with 300 VMs, 40 ms are 25 requests
+// a second.
 constexpr Milliseconds minReturnSpacing { 40 };
 constexpr Milliseconds maxReturnSpacing { 500 };
-// Maximum delay before a VM asks again while few are waiting, so that it soon hears that the limit has ended.
+// Maximum delay before a VM repeats its request while few are waiting, so that it soon learns that the limit has ended.
 constexpr Milliseconds maxReturnDelay { 2000 };
-// Requests a second while the limit has not been heard for a while and may have fallen: requests go one at a time until
-// an answer confirms it, as VMs do when they hear it again (LimitChange::Confirmed).
+// Requests a second while no answer has stated the limit for a while and it may have fallen: requests are sent one at a
+// time until an answer confirms the limit. VMs report a confirmed limit (LimitChange::Confirmed).
 constexpr double unconfirmedRate = 4;
-// Maximum number of tracked return times, more than all VMs of a fleet; VMs beyond it are given the time of the last
-// one.
+// Maximum number of tracked times for repeated requests, more than all VMs of a fleet; VMs beyond it get the time of
+// the last one.
 constexpr std::size_t maxTrackedReturns = 1000;
 
 LimitReport reportOf(const KnownLimit& limit, Milliseconds now) { return { limit.perSecond(), now - limit.heardAt() }; }
@@ -72,7 +73,7 @@
     return { true, wait, reportOf(state.limit, now) };
 }
 
-// VMs that get no permit ask again in the order in which they asked, the first one when the next slot is free.
+// VMs that get no permit repeat their requests in the same order, the first one when the next slot is free.
 Milliseconds LimitKeeper::nextReturnDelay(EndpointState& state, Milliseconds timeUntilFree, Milliseconds now)
 {
     auto& returns = state.returns;
--- a/src/limits/LimitKeeper.h
+++ b/src/limits/LimitKeeper.h
@@ -1,9 +1,9 @@
-// Issues the permits for rate-limited endpoints to the VMs that ask this one.
+// Issues the permits for rate-limited endpoints to the VMs that request them from this VM.
 //
 // A single VM issues all permits of an endpoint, because a fixed share of the limit for each VM wastes the shares of
 // VMs without requests and permits bursts when many VMs have one request each: 300 VMs with one permit each are 300
-// requests at an endpoint that accepts one a second. Reports of the limit from the asking VMs are ordered by the time
-// at which it was heard (KnownLimit).
+// requests at an endpoint that accepts one a second. Reports of the limit from these VMs are ordered by the time at
+// which it was received (KnownLimit).
 //
 //     LimitKeeper keeper;
 //     const auto answer = keeper.ask(request, LimitKeeper::primaryShare, now);
@@ -52,14 +52,14 @@
         KnownLimit limit;
         PermitSchedule schedule;
         bool hasStarted { false };
-        // Times at which VMs without a permit were told to ask again, oldest first.
+        // Times at which VMs without a permit should repeat their requests, oldest first.
         std::deque<Milliseconds> returns;
         Milliseconds usedAt { 0 };
     };
 
     EndpointState& stateOf(const std::string& endpoint, Milliseconds now);
     void removeUnused(Milliseconds now);
-    // Delay after which a VM without a permit should ask again; the next slot is free after `timeUntilFree`.
+    // Delay after which a VM without a permit should repeat its request; the next slot is free after `timeUntilFree`.
     static Milliseconds nextReturnDelay(EndpointState&, Milliseconds timeUntilFree, Milliseconds now);
 
     double m_firstSlotDelayShare;
--- a/src/limits/PermitSchedule.h
+++ b/src/limits/PermitSchedule.h
@@ -34,10 +34,10 @@
     // Time between two slots.
     Milliseconds interval() const { return Milliseconds { static_cast<std::int64_t>(m_interval) }; }
 
-    // Rate in requests a second for an endpoint that accepts nothing: only its answers tell when that changes.
+    // Rate in requests a second for an endpoint that accepts nothing: only its answers show when that changes.
     static constexpr double minRate = 0.1;
-    // An unused slot stays available for this long, because a VM that is told to return for it arrives a little later.
-    // This adds that much of the limit to the busiest seconds.
+    // An unused slot stays available for this long, because the repeated request of a VM for it arrives a little later.
+    // The busiest seconds may contain the permits of this much additional time.
     static constexpr Milliseconds unusedSlotLifetime { 400 };
 
 private:
--- a/src/limits/PermitSource.h
+++ b/src/limits/PermitSource.h
@@ -1,9 +1,9 @@
-// Interface through which a VM asks for permits to send requests to rate-limited endpoints, and reports the limits that
-// it hears.
+// Interface through which a VM requests permits to send requests to rate-limited endpoints, and reports the limits that
+// endpoints state.
 //
 //     permits.ask({ incarnationName, limit, permitTimeout }, [](const PermitAnswer& answer) { ... });
 //
-// Used on the relay's thread only. It outlives the answers to its questions or drops them.
+// Used on the relay's thread only. Outlives the answers to permit requests, or drops them.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -13,11 +13,11 @@
 
 namespace lupinknot::internal {
 
-// What a VM has heard of an endpoint's limit.
+// An endpoint's limit as a VM knows it.
 struct LimitReport {
     // Requests a second; empty if the endpoint states no limit.
     std::optional<double> perSecond;
-    // Time since it was heard.
+    // Time since an answer of the endpoint stated it.
     Milliseconds age { 0 };
 };
 
@@ -31,9 +31,9 @@
 
 struct PermitAnswer {
     bool isGranted { false };
-    // Time until the request may be sent or, without a permit, until asking again may help.
+    // Time until the request may be sent or, without a permit, until another request may succeed.
     Milliseconds wait { 0 };
-    // The limit as known to the VM that was asked.
+    // The limit as known to the VM that answers.
     LimitReport report;
 };
 
@@ -42,7 +42,7 @@
     virtual ~PermitSource() = default;
     // Calls back once, never before it returns.
     virtual void ask(const PermitRequest&, std::function<void(const PermitAnswer&)>) = 0;
-    // Reports a limit without asking for a permit.
+    // Reports a limit without requesting a permit.
     virtual void reportLimit(const std::string& endpoint, const LimitReport&) = 0;
 };
 
--- a/src/quarantine/CrashRecord.h
+++ b/src/quarantine/CrashRecord.h
@@ -17,7 +17,7 @@
     double weight { 0 };
     // How long the endpoint had worked on the request.
     Milliseconds workedFor { 0 };
-    // The loss ended a trial: the request had been held before and was admitted again.
+    // True if the loss ended a trial: the request had been held before and was admitted again.
     bool endsTrial { false };
     // When the request was sent to the endpoint and when it was lost: wall-clock time of the VM that saw it, in
     // milliseconds.
--- a/src/quarantine/CrashReports.h
+++ b/src/quarantine/CrashReports.h
@@ -1,4 +1,4 @@
-// Interface through which VMs tell each other which endpoints crashed under which requests.
+// Interface through which VMs report to each other which endpoints crashed under which requests.
 //
 // Records reach all VMs, including those that start later. Used on the relay's thread only.
 #pragma once
--- a/src/quarantine/CrashWeight.cpp
+++ b/src/quarantine/CrashWeight.cpp
@@ -33,8 +33,7 @@
     switch (run.beginning) {
     case RunStart::NotYet:
         return 0;
-    // Reading a prompt takes longer than this: the engine had crashed before, behind a proxy that accepted the
-    // connection.
+    // Prefill takes longer than this: the engine had crashed before, behind a proxy that accepted the connection.
     case RunStart::Hidden:
         return run.workedFor < minWorkTime ? 0 : halfSuspicion;
     case RunStart::Producing:
--- a/src/quarantine/CrashWeight.h
+++ b/src/quarantine/CrashWeight.h
@@ -1,4 +1,4 @@
-// Decides how strongly the crash of an endpoint counts as evidence against one request that it was running.
+// Decides how strongly the crash of an endpoint counts as evidence against one of the requests in progress there.
 //
 // Load pattern: a request crashes each endpoint that begins it, 42 to 116 ms after the beginning, and is then sent to
 // the next endpoint. The endpoint's other requests are lost with it; most of them had run for seconds or were still
@@ -21,7 +21,7 @@
     Producing, // Events had arrived.
     Begun, // The response header had arrived.
     NotYet, // The header had not arrived, and this service sends it before the first event.
-    Hidden, // The header does not tell: this service sends it with the first event, or long before the run begins.
+    Hidden, // The header does not show it: this service sends it with the first event, or long before the run begins.
     Assumed, // A call with a complete response, which begins as soon as the endpoint has capacity.
 };
 
@@ -37,8 +37,8 @@
 struct UnfinishedRun {
     FailureKind failure { FailureKind::ConnectionLost };
     RunStart beginning { RunStart::Hidden };
-    // Time from the first event, or else from the header, or else from the sending, to the last sign of life of the
-    // endpoint.
+    // Time until the last sign that the endpoint was alive, from the first event, or else from the header, or else from
+    // when the request was sent.
     Milliseconds workedFor { 0 };
     // The endpoint had announced its shutdown.
     bool wasLeaving { false };
--- a/src/quarantine/EndpointLosses.cpp
+++ b/src/quarantine/EndpointLosses.cpp
@@ -10,10 +10,10 @@
 // the probability of one more loss in the zone is a third, and of two more 5 %.
 constexpr std::size_t correlatedLossesInZone = 2;
 // A loss is also correlated if half of the service's other endpoints were lost, and at least this many. This covers
-// services whose zones have too few endpoints to tell.
+// services whose zones have too few endpoints for the first rule.
 constexpr std::size_t minCorrelatedLossesInService = 2;
 // Losses are kept for as long as an evaluation looks back. No endpoint restarts within this time: a request sent to it
-// until then finds it lost. `maxLosses` is more than the engines of a fleet.
+// until then fails too. `maxLosses` is more than the engines of a fleet.
 constexpr Milliseconds lossLifetime { 3 * EndpointLosses::correlationWindow };
 constexpr std::size_t maxDigestsPerLoss = 16;
 constexpr std::size_t maxLosses = 4096;
--- a/src/quarantine/EndpointLosses.h
+++ b/src/quarantine/EndpointLosses.h
@@ -1,9 +1,9 @@
 // Records the endpoints that this VM has lost recently and decides whether a loss was correlated with others.
 //
 // Load pattern: the endpoints of a zone, or most endpoints of a service, go down almost simultaneously. The requests
-// that ran there are not to blame. Endpoints lost under the same request do not count as others, because a request that
-// crashes whatever runs it causes such a series by itself, within one attempt and over several. Used on the relay's
-// thread only.
+// that ran there are not the cause. Endpoints lost under the same request do not count as others, because a request
+// that crashes whatever runs it causes such a series by itself, within one attempt and over several. Used on the
+// relay's thread only.
 #pragma once
 
 #include "lupinknot/Clock.h"
@@ -31,10 +31,10 @@
 
 class EndpointLosses {
 public:
-    // Records a loss. If the endpoint has shown life since its last recorded loss (`lastAliveAt`), this is a new loss;
-    // otherwise it is another request's view of the same one.
+    // Records a loss. If the endpoint has been alive since its last recorded loss (`lastAliveAt`), this is a new loss;
+    // otherwise another request has detected the same one.
     void note(EndpointLoss, Milliseconds lastAliveAt);
-    // True if the endpoint was lost before `instant` and has shown no life since, so that a request sent at `instant`
+    // True if the endpoint was lost before `instant` and has not been alive since, so that a request sent at `instant`
     // did not crash it.
     bool wasLostBefore(const std::string& endpointId, Milliseconds instant, Milliseconds lastAliveAt) const;
     // True if enough other endpoints were lost within `correlationWindow` to explain the loss.
--- a/src/quarantine/Quarantine.h
+++ b/src/quarantine/Quarantine.h
@@ -9,8 +9,8 @@
 // short, and then one attempt at a time is admitted as a trial: a request that was running when a small service went
 // down may look the same, and its trial clears it. If the trial crashes its endpoint, the request is held for long. VMs
 // end a hold at different times, so that the first trial is over before other VMs begin one. Each endpoint incarnation
-// counts once, whichever VM reports it. An address that crashes repeatedly counts half from the second crash on,
-// because the fault may be its own.
+// counts once, whichever VM reports it. Crashes at the same address count half from the second one on, because the
+// endpoint itself may be faulty.
 //
 // Concurrent runs of one request that were lost almost simultaneously count as one: many callers may send the same
 // request, and a common cause took their endpoints down. A request that crashes its endpoints loses them one by one.
@@ -35,8 +35,8 @@
     // need not be sent to other VMs.
     bool add(const CrashRecord&, Milliseconds at, bool isShared);
     // Returns the records of the request that other VMs should receive now, each record once: all of them, as soon as
-    // they add up to one full suspicion. Sharing every half suspicion took 260 to 332 calls to the store a day instead
-    // of 101 to 219 (six VMs, four days with faults).
+    // they add up to one full suspicion. Sharing every half suspicion would take more calls to the store, which are
+    // billed.
     std::vector<CrashRecord> takeUnshared(const std::string& digest);
     // Removes a record that another VM has withdrawn.
     void remove(const std::string& digest, const std::string& endpointId);
@@ -63,7 +63,7 @@
     Milliseconds longestWork(const std::string& digest) const;
     std::size_t suspectCount() const { return m_suspects.size(); }
 
-    // Sum of weights from which a request is held: one crash may be chance and two bad luck.
+    // Sum of weights from which a request is held: one crash or two may be coincidence.
     static constexpr double holdThreshold = 3;
     static constexpr double shareThreshold = 1;
     // How long a request is held after the last crash: at first, and after a failed trial. Engines restart within
--- a/src/quarantine/ServedRequests.h
+++ b/src/quarantine/ServedRequests.h
@@ -1,7 +1,8 @@
-// Remembers the digests of recently served requests.
+// Keeps the digests of recently served requests.
 //
 // Load pattern: many callers send the same request at once while engines crash. A request that has just been served
-// does not crash every endpoint that begins it, however many endpoints it has lost. Used on the relay's thread only.
+// does not crash every endpoint that begins it, however many endpoints were lost under it. Used on the relay's thread
+// only.
 #pragma once
 
 #include "lupinknot/Clock.h"
--- a/src/relay/BufferedCall.cpp
+++ b/src/relay/BufferedCall.cpp
@@ -173,7 +173,7 @@
         return;
     if (!m_context.retryBudget(m_request.service).take(RetryPurpose::Proactive, m_request.admittedAt, m_context.now()))
         return;
-    // A hedge is only a precaution, so it is not sent to a rate-limited endpoint.
+    // A hedge is optional, so it is not sent to a rate-limited endpoint.
     auto placementRequest = anyEndpoint();
     placementRequest.limited = LimitedEndpoints::Excluded;
     if (!sendNext(placementRequest, true))
--- a/src/relay/BufferedCall.h
+++ b/src/relay/BufferedCall.h
@@ -47,7 +47,7 @@
 
     BufferedCall(RelayContext&, RelayRequest);
     void begin();
-    // Sends the request to one more endpoint, or asks for a permit to do so; returns false when no endpoint is
+    // Sends the request to one more endpoint, or requests a permit to do so; returns false when no endpoint is
     // available. If the call can wait instead, only an endpoint without known problems is acceptable.
     bool sendNext(const PlacementRequest&, bool tookRetry);
     void sendTo(const std::shared_ptr<RelayEndpoint>&, bool tookRetry);
@@ -55,7 +55,7 @@
     void permitAnswered(const std::shared_ptr<RelayEndpoint>&, bool isGranted, bool tookRetry);
     PlacementRequest anyEndpoint();
     PlacementRequest healthyEndpoint();
-    // True when the call has run nowhere and may be sent again later.
+    // True when no endpoint has run the call and it may be sent again later.
     bool mayWait() const;
     // Waits for capacity, or refuses the call with the reason when waiting is not worthwhile.
     void waitForCapacity(RefusalReason lastReason);
--- a/src/relay/CallProtocol.h
+++ b/src/relay/CallProtocol.h
@@ -36,10 +36,10 @@
     std::string malformedField;
 };
 
-// Where an engine finds the memory of a run that it resumes.
+// Where an engine finds the KV cache of a run that it resumes.
 struct RunMemorySource {
-    // The engine that holds the memory: for a copy made while the run went on, the engine that received it; for a run
-    // that was moved, its previous engine.
+    // The engine that holds the KV cache: for a live copy, the engine that received it; for a run that was moved, its
+    // previous engine.
     SocketAddress engine;
     // Id of the request whose run was copied, or the handle that the engine returned for a move.
     std::string name;
@@ -47,9 +47,9 @@
 
 // An engine's response to a request to move a run.
 struct MoveRunAnswer {
-    // True when the target engine has received the run's memory.
+    // True when the target engine has received the run's KV cache.
     bool isCopied { false };
-    // Identifies the memory for the run that resumes from it; empty when there is none.
+    // Identifies the KV cache for the run that resumes from it; empty when there is none.
     std::string handle;
 };
 
@@ -61,7 +61,7 @@
     // Empty on public routes.
     std::string organisation;
     std::optional<std::uint64_t> lastEventId;
-    // Engine that receives a live copy of the run's memory, updated while the run goes on.
+    // Engine that receives a live copy of the run's KV cache, updated while the run continues.
     std::optional<SocketAddress> copyTo;
     std::optional<RunMemorySource> continueFrom;
 };
@@ -74,9 +74,9 @@
     std::string unreadable;
 };
 
-// Back-off that an endpoint asks this VM for when it rejects a request.
+// Back-off that an endpoint requests from this VM when it rejects a request.
 struct RequestedBackOff {
-    // Nothing when the response asks for no back-off, or its time cannot be parsed.
+    // Nothing when the response requests no back-off, or its time cannot be parsed.
     std::optional<Milliseconds> time;
     // The value that cannot be parsed; empty when there is none.
     std::string unreadable;
@@ -112,7 +112,7 @@
     virtual HttpRequest encodeLoadQuery() const = 0;
     // Nothing when the response is not a valid load report.
     virtual std::optional<EngineReport> decodeLoad(const HttpResponse&) const = 0;
-    // Asks an engine to copy a run's memory to another engine, and to stop the run first if so requested.
+    // Builds a request to an engine to copy a run's KV cache to another engine, and to stop the run first if requested.
     virtual HttpRequest encodeMoveRun(
         const std::string& requestId, const SocketAddress& target, bool stopsRun) const = 0;
     virtual MoveRunAnswer decodeMoveRun(const HttpResponse&) const = 0;
--- a/src/relay/CrashGuard.h
+++ b/src/relay/CrashGuard.h
@@ -1,10 +1,10 @@
 // Stops requests that crash every endpoint that runs them from being retried on one endpoint after another.
 //
-// Each endpoint loss under a request is first a pending loss. After EndpointLosses::moment it is evaluated: a loss that
-// coincided with others, or of an endpoint that had announced its shutdown, does not count against the request. Any
-// other loss goes into the Quarantine and to the other VMs (CrashReports). A request that would be quarantined if its
-// pending losses counted waits for the evaluation. When a request is quarantined, its calls in progress are notified
-// and new ones are refused.
+// Each endpoint loss under a request is first a pending loss. After EndpointLosses::correlationWindow it is evaluated:
+// a loss that coincided with others, or of an endpoint that had announced its shutdown, does not count against the
+// request. Any other loss goes into the Quarantine and to the other VMs (CrashReports). A request that would be
+// quarantined if its pending losses counted waits for the evaluation. When a request is quarantined, its calls in
+// progress are notified and new ones are refused.
 //
 //     guard.addListener(digest, call);                     // call->requestQuarantined() may follow.
 //     guard.noteLoss(loss);
--- a/src/relay/CrashTracker.h
+++ b/src/relay/CrashTracker.h
@@ -1,10 +1,11 @@
-// Connects one call's request to the CrashGuard: reports its losses and tells the call when the request is quarantined.
+// Connects one call's request to the CrashGuard: reports its losses and notifies the call when the request is
+// quarantined.
 //
-//     CrashTracker watch(context, request);
-//     watch.begin([this] { quarantined(); });      // Called when the request is quarantined.
-//     watch.noteUnfinished(endpoint, sentAt, run); // An endpoint did not finish a run of the request.
-//     if (decideAttempt(watch.attemptState(runs)) == AttemptDecision::Allowed) ...  // Another attempt may be sent.
-//     watch.end();
+//     CrashTracker tracker(context, request);
+//     tracker.begin([this] { quarantined(); });      // Called when the request is quarantined.
+//     tracker.noteUnfinished(endpoint, sentAt, run); // An endpoint did not finish a run of the request.
+//     if (decideAttempt(tracker.attemptState(runs)) == AttemptDecision::Allowed) ... // Another attempt may be sent.
+//     tracker.end();
 //
 // Used on the relay's thread only. Owned by the request's call.
 #pragma once
--- a/src/relay/EndpointCall.cpp
+++ b/src/relay/EndpointCall.cpp
@@ -73,7 +73,7 @@
 {
     const auto fields = m_context.protocol.decodeAnswer(head);
     const auto now = m_context.now();
-    // Unsigned bytes and responses of another process at the address say nothing about this endpoint.
+    // Unsigned bytes and responses of another process at the address are no evidence about this endpoint.
     const bool isFromEndpoint = (fields.isSigned || fields.isNotRun) && !fields.isOtherIncarnation;
     if (isFromEndpoint)
         m_endpoint->noteSignals(fields, now);
--- a/src/relay/EndpointCall.h
+++ b/src/relay/EndpointCall.h
@@ -47,7 +47,7 @@
 
     const std::shared_ptr<RelayEndpoint>& endpoint() const { return m_endpoint; }
     Milliseconds startedAt() const { return m_startedAt; }
-    // True once a byte of the request may have left this process.
+    // True once a byte of the request may have been sent.
     bool hasSent() const { return m_isOver ? m_hadSent : m_connection->hasSent(); }
     bool isOver() const { return m_isOver; }
     // Closes the connection. No callback follows.
--- a/src/relay/EndpointDirectory.h
+++ b/src/relay/EndpointDirectory.h
@@ -2,13 +2,13 @@
 //
 //     directory.change(changes, now);
 //     directory.replaceAll(entries, now);        // After a gap in the list's changes.
-//     directory.remove("i-1", now);              // An answer shows that it is gone; last resort for a while.
+//     directory.remove("i-1", now);              // An answer shows that i-1 is gone; i-1 is a last resort for a while.
 //     directory.listRestored(now);               // The store was restored from an older copy.
 //
 // A store that was restored from an older copy lists endpoints that are gone, lacks some that are present, and shows
 // endpoints as ready that have announced that they shut down. Until the endpoints have had time to write their entries
 // again, local knowledge takes precedence over such a list. An endpoint's announcement that it shuts down is final for
-// its incarnation, whatever a later list says.
+// its incarnation, whatever a later list contains.
 //
 // Each applied list or change writes one log line: with hundreds of VMs and engines, a line per endpoint on each VM
 // would be three quarters of the log.
@@ -38,9 +38,9 @@
 // What a list or a change did, as written to the log.
 struct EndpointCounts {
     std::int64_t added { 0 };
-    // The endpoint is shutting down now, or is listed again.
+    // Endpoints that are shutting down now, or are listed again.
     std::int64_t changed { 0 };
-    // A new incarnation took their place.
+    // Endpoints of which a new incarnation is listed instead.
     std::int64_t replaced { 0 };
     std::int64_t removed { 0 };
 };
@@ -55,10 +55,10 @@
     EndpointCounts change(std::vector<EndpointChange>, Milliseconds now, std::uint64_t version = 0);
     EndpointCounts replaceAll(std::vector<EndpointEntry>, Milliseconds now, std::uint64_t version = 0);
     // For a while, lists may be older than local knowledge. Endpoints that such a list lacks stay, and endpoints that
-    // are known to be gone are not listed again, until a change names the endpoint or the time in RelaySettings has
+    // are known to be gone are not listed again, until a change contains the endpoint or the time in RelaySettings has
     // passed.
     void listRestored(Milliseconds now);
-    // The list is the store's current one at this time: while the store is unavailable, nobody can write to it.
+    // The list is the store's current one at this time: while the store is unavailable, no VM can write to it.
     void listConfirmed(Milliseconds instant) { m_listConfirmedAt = std::max(m_listConfirmedAt, instant); }
     // True once a list has been applied, even an empty one.
     bool isKnown() const { return m_isKnown; }
@@ -81,7 +81,7 @@
     // Records a failure of the endpoint; several failing endpoints of a zone make the zone a failing one.
     void noteFailure(const RelayEndpoint&, Milliseconds now);
     bool isZoneAvoided(const std::string& zone, Milliseconds now) const;
-    // True for an endpoint of a zone that failed recently if nothing has been heard from the endpoint since.
+    // True for an endpoint of a zone that failed recently if no sign of life has arrived from the endpoint since.
     bool isSuspected(const RelayEndpoint&, Milliseconds now) const;
     // True when several endpoints of the zone have failed together since that time.
     bool hasZoneFailedSince(const std::string& zone, Milliseconds since) const;
@@ -120,11 +120,11 @@
     void applyAnnouncedShutdown(EndpointEntry&) const;
     // True for an incarnation that is known to be gone.
     bool isKnownGone(const EndpointEntry&) const;
-    // Records that a restored list names an incarnation that is known to be gone; it is listed only if it is still
-    // there when the time for that has passed.
+    // Records that a restored list contains an incarnation that is known to be gone. The incarnation is listed only if
+    // the list still contains it when the time for that has passed.
     void recordRelisted(EndpointEntry, Milliseconds now);
-    // Removes the endpoints that the restored list lacked and lists those that it named although they were known to be
-    // gone, each after its own time.
+    // Removes the endpoints that the restored list lacked and lists those that it contained although they were known to
+    // be gone, each after its own time.
     void applyUnconfirmed(Milliseconds now);
 
     boost::asio::io_context& m_ioContext;
--- a/src/relay/EngineChoice.h
+++ b/src/relay/EngineChoice.h
@@ -4,7 +4,7 @@
 // that has the prompt cached, then the least loaded of a few engines that are probed.
 //
 //     const auto choice = EngineChoice::make(context, request, rollout);
-//     if (const auto location = choice->copyTarget()) ...
+//     if (const auto target = choice->copyTarget()) ...
 //     choice->choose([this](const std::shared_ptr<RelayEndpoint>& engine) { ... });       // Null when there is none.
 //
 // Used on the relay's thread only. Owned by the stream's call; no callback is called after its destruction.
@@ -40,14 +40,14 @@
     using Engines = std::vector<std::shared_ptr<RelayEndpoint>>;
     using Callback = std::function<void(const std::shared_ptr<RelayEndpoint>&)>;
 
-    // The context, the request and the rollout must outlive it.
+    // The context, the request and the rollout must outlive this object.
     static std::shared_ptr<EngineChoice> make(RelayContext&, const RelayRequest&, RequestRollout&);
     ~EngineChoice();
 
-    // For a caller who reconnects, asks other VMs where the request ran, and calls back once. Returns false, without a
-    // callback, when there is nothing to ask.
+    // For a caller who reconnects, requests the location of the run from other VMs, and calls back once. Returns false,
+    // without a callback, when no location can be requested.
     bool findEarlierRun(std::function<void()> callback);
-    // Tells other VMs where the run is.
+    // Publishes the location of the run to other VMs.
     void noteLocation(const StreamRun&) const;
     void forgetLocation() const;
 
@@ -71,7 +71,7 @@
     std::shared_ptr<RelayEndpoint> chooseCopyHolder(const RelayEndpoint& engine) const;
     // How long the stream can wait for a permit at a rate-limited engine.
     Milliseconds permitTimeoutFor(bool isFromCopy) const;
-    // When the first engine accepts a request again if all are rate-limited or backing off; empty otherwise.
+    // When the first engine accepts a request again if all are rate-limited or in back-off; empty otherwise.
     std::optional<EndpointAvailability> nextAvailability() const;
 
 private:
@@ -79,7 +79,7 @@
     // Null where VMs do not share run locations.
     RunLocations* runLocations() const;
     void onEarlierRunFound(const std::optional<RunLocation>&);
-    // True unless the engine is shutting down, avoided, backing off, out of permits, suspected or in a failing zone.
+    // True unless the engine is shutting down, avoided, in back-off, without permits, suspected or in a failing zone.
     bool isHealthy(const RelayEndpoint&) const;
     // The placement for a run that has to prefill the prompt.
     PlacementRequest placementRequest() const;
--- a/src/relay/EngineForecast.cpp
+++ b/src/relay/EngineForecast.cpp
@@ -16,7 +16,7 @@
 // Share of the engine's memory that may be planned for; the rest covers answers that exceed their stated maximum and
 // prompts that other VMs send at the same time.
 constexpr double plannedMemoryShare = 0.95;
-// An engine without room makes the request wait until runs end, or preempts another run.
+// An engine without free memory makes the request wait until runs end, or preempts another run.
 constexpr Milliseconds noRoomDelay { 20000 };
 // A report may be wrong, so that no report raises an engine's delay above this.
 constexpr Milliseconds longestDelay { 60000 };
--- a/src/relay/EventStreamCall.cpp
+++ b/src/relay/EventStreamCall.cpp
@@ -51,7 +51,7 @@
 
 void EventStreamCall::begin()
 {
-    // Weak, because the callbacks of the watch's timer may still run once after this call is destroyed.
+    // Weak, because the callbacks of the monitor's timer may still run once after this call is destroyed.
     const auto ifNotFinished = [weak = weak_from_this()](void (EventStreamCall::*action)()) {
         return [weak, action] {
             if (const auto self = weak.lock(); self && !self->m_isFinished)
@@ -106,7 +106,7 @@
 
 void EventStreamCall::giveUpAsHeld() { giveUp(refusalAfter(AttemptDecision::Held, m_possibleRuns)); }
 
-// A run that produces events evidently does not crash its engine, whatever other runs of the request have done.
+// A run that produces events does not crash its engine, whatever happened to other runs of the request.
 void EventStreamCall::requestBecameHeld()
 {
     if (!m_run || !m_run->hasEvent)
@@ -395,7 +395,7 @@
                           : settings.avoidAfterRefusal));
     m_context.directory.noteFailure(*run->endpoint, now);
     m_choice->noteFailed(run->endpoint);
-    // A run's memory is copied from its first event on, so before that no copy exists.
+    // A run's KV cache is copied from its first event on, so before that no copy exists.
     m_choice->setCopy(run->hasEvent ? copyHolderOf(*run, m_context.directory) : nullptr, m_request.fields.requestId);
     m_failedAt = m_failedAt.value_or(now);
     startRun();
--- a/src/relay/EventStreamCall.h
+++ b/src/relay/EventStreamCall.h
@@ -2,8 +2,9 @@
 //
 // The events belong to the answer (Generation); a run is one attempt to produce them at one engine. When the engine of
 // the current run fails or stops sending, a new run resumes after the last complete event, and the caller keeps the
-// head of the first run. An engine that supports it copies the run's memory to a second engine in another availability
-// zone while the run goes on; the new run then starts there and processes only what the copy lacks.
+// response header of the first run. An engine that supports live copies copies the run's KV cache to a second engine in
+// another availability zone while the run continues; the new run then starts there and prefills only what the copy
+// lacks.
 //
 // A stream that must not run twice is not moved once an engine may have started it. Used on the relay's thread only.
 // Owned by its pending timers and the exchange's callback.
--- a/src/relay/PermitWait.cpp
+++ b/src/relay/PermitWait.cpp
@@ -57,7 +57,7 @@
     });
 }
 
-// What the endpoint has announced since overrides the permit: a lower limit, backoff or its shutdown.
+// What the endpoint has announced since overrides the permit: a lower limit, a back-off or its shutdown.
 void PermitWait::slotReached()
 {
     const auto perSecond = m_endpoint->limit().perSecond();
--- a/src/relay/Placement.cpp
+++ b/src/relay/Placement.cpp
@@ -34,7 +34,7 @@
     return !endpoint.isLimited() || (wanted == LimitedEndpoints::Admitted && now >= endpoint.noPermitUntil());
 }
 
-// True while the endpoint is believed to benefit from less work.
+// True while the endpoint is probably overloaded and should get less work.
 bool isOverloaded(const RelayEndpoint& endpoint, Milliseconds now)
 {
     return endpoint.isLimited() && now - endpoint.limit().heardAt() < limitTrustedFor;
@@ -77,7 +77,7 @@
     return best;
 }
 
-// Removes the candidates that their limit excludes, and adds a surcharge to those that benefit from less work.
+// Removes the candidates that their limit excludes, and adds a surcharge to those that should get less work.
 void Placement::applyLimits(std::vector<Candidate>& found, LimitedEndpoints wanted, Milliseconds now)
 {
     if (wanted == LimitedEndpoints::Unrestricted)
--- a/src/relay/Placement.h
+++ b/src/relay/Placement.h
@@ -57,7 +57,7 @@
     // The best endpoints for the request, best first: up to the given count.
     std::vector<std::shared_ptr<RelayEndpoint>> candidates(
         const PlacementRequest&, std::size_t count, Milliseconds now);
-    // When the first endpoint accepts a request again if all candidates are backing off or rate-limited; empty when an
+    // When the first endpoint accepts a request again if all candidates are in back-off or rate-limited; empty when an
     // endpoint is neither, or when there is no candidate.
     std::optional<EndpointAvailability> nextAvailability(const PlacementRequest&, Milliseconds now) const;
     // The best of some engines that have reported their load, by forecast; null when none accepts work any more.
--- a/src/relay/RelayDaemon.h
+++ b/src/relay/RelayDaemon.h
@@ -67,13 +67,13 @@
         m_settings.retrySlackStartsAt = m_clock.now() + time + m_settings.retryWindow;
     }
     Rollouts& rollouts() { return m_context.rollouts; }
-    // Starts to take part in a roll-out. Returns whether the order is new.
+    // Starts to take part in a rollout. Returns whether the order is new.
     bool beginRollout(const RolloutOrder&);
     const Clock& clock() const { return m_clock; }
     // Applies a configuration unless it is older than the current one. Returns whether it was applied.
     bool applyConfiguration(std::shared_ptr<const RelayConfiguration>);
     const std::shared_ptr<const RelayConfiguration>& configuration() const { return m_context.configuration; }
-    // The port that callers connect to, also when the settings asked for any port (0).
+    // The port that callers connect to, also when the settings specify any port (0).
     unsigned short frontPort() const { return m_callerServer.port(); }
     // Number of requests that wait for the configuration, for endpoints or for capacity.
     std::size_t waitingCount() const { return m_context.waitingRequestLimit.count(); }
--- a/src/relay/RelayEndpoint.h
+++ b/src/relay/RelayEndpoint.h
@@ -49,7 +49,7 @@
     void noteReport(const EngineReport& report, Milliseconds now) { m_report = TimedReport { report, now }; }
     const EngineReport* report() const { return m_report ? &m_report->report : nullptr; }
 
-    // Applies what a new answer says about backing off and shutting down.
+    // Applies what a new answer states about back-off and shutdown.
     void noteSignals(const AnswerFields&, Milliseconds now);
     const EndpointSignals& signals() const { return m_signals; }
     // Applies the signals that were known of this incarnation before it was dropped.
@@ -58,7 +58,7 @@
 
     const KnownLimit& limit() const { return m_limit; }
     // Applies a new answer's statement about the endpoint's rate limit; sentAt is when its request was sent. Returns
-    // true if other VMs should be told.
+    // true if the change should be reported to other VMs.
     bool noteLimit(const StatedLimit&, Milliseconds sentAt, Milliseconds now);
     // Applies what another VM reports of the rate limit.
     void noteLimitNews(const LimitReport&, Milliseconds now);
@@ -68,9 +68,9 @@
     void denyPermitsUntil(Milliseconds instant) { m_noPermitUntil = instant; }
     Milliseconds noPermitUntil() const { return isLimited() ? m_noPermitUntil : Milliseconds { 0 }; }
 
-    // True if its entry or an answer says that it shuts down, or if its entry was removed.
+    // True if its entry or an answer states that it is shutting down, or if its entry was removed.
     bool isLeaving() const { return m_leavingSince.has_value(); }
-    // False for an endpoint that says that it shuts down or backs off. An endpoint whose entry was removed may take
+    // False for an endpoint that announced its shutdown or is in back-off. An endpoint whose entry was removed may take
     // work as a last resort, for the grace time only.
     bool mayTakeWork(Milliseconds now, Milliseconds grace) const;
     // True for an endpoint whose entry was removed and that takes no more work.
--- a/src/relay/RelayHandler.h
+++ b/src/relay/RelayHandler.h
@@ -17,7 +17,7 @@
 public:
     explicit RelayHandler(RelayContext&);
     void handle(const std::shared_ptr<HttpExchange>&);
-    // Processes the waiting requests again, after the VM received its configuration or its endpoints.
+    // Processes the waiting requests again, after the VM has received its configuration or its endpoints.
     void processWaitingRequests() { m_startupQueue.release(); }
 
 private:
--- a/src/relay/RelayMetrics.h
+++ b/src/relay/RelayMetrics.h
@@ -30,7 +30,7 @@
     prometheus::Family<prometheus::Histogram>& m_durations;
 
 public:
-    // Streams that resumed at another engine from a copy of their memory, or by processing the prompt again.
+    // Streams that resumed at another engine from a copy of their KV cache, or by a new prefill of the prompt.
     prometheus::Counter& resumedFromCopy;
     prometheus::Counter& resumedCold;
     // Time from a stream's last event before a failure to the first one after it, in milliseconds.
--- a/src/relay/RelayRefusal.h
+++ b/src/relay/RelayRefusal.h
@@ -11,12 +11,12 @@
 
 struct RelayContext;
 
-// What a caller is told for one reason.
+// The response to the caller for one reason.
 struct RefusalTraits {
     RefusalReason reason;
     std::string_view name;
     unsigned status;
-    // True when the request has not run and will not: the caller may retry, and is told when.
+    // True when the request has not run and will not: the caller may retry, and the response states when.
     bool isNotRun;
     std::string_view message;
 };
--- a/src/relay/RelaySettings.h
+++ b/src/relay/RelaySettings.h
@@ -34,10 +34,10 @@
     double retryShareAfterStart { 0.7 };
     // Share of the budget that VMs use; the rest makes up for VMs that count at different times and for rounding up.
     double retryShare { 0.87 };
-    // Share of this VM's part that may be used for precautions, and for calls that a full service rejects.
+    // Share of this VM's part that may be used for proactive retries, and for calls that a full service rejects.
     double precautionShare { 0.6 };
 
-    // Requests that all VMs together may send to a version whose roll-out is undecided. Set by the deployment.
+    // Requests that all VMs together may send to a version whose rollout is undecided. Set by the deployment.
     ExposureLimit exposureLimit {};
 
     // Timeout for connecting to an endpoint. A round trip between zones takes about 2 ms and accepting a connection
@@ -56,7 +56,7 @@
     Milliseconds idleTimeoutMargin { 700 };
 
     // Silence of a stream after which its engine is probed, until the timing of the service is known. Events come every
-    // 30 ms, or every 150 ms while the engine processes another prompt.
+    // 30 ms, or every 150 ms while the engine prefills another prompt.
     Milliseconds probeAfterSilence { 170 };
     // The same when another engine of the availability zone has just failed.
     Milliseconds probeAfterSilenceInDoubt { 90 };
@@ -66,10 +66,10 @@
     Milliseconds probeInterval { 150 };
     // Silence after which a stream moves although its engine is alive, as a share of the route's longest pause.
     double moveAfterPauseShare { 0.75 };
-    // How much longer than the usual time of processing its prompt a stream waits for its first event before its engine
-    // is probed.
+    // How much longer than the usual prefill time of its prompt a stream waits for its first event before its engine is
+    // probed.
     Milliseconds prefillPatience { 300 };
-    // Timeout for an engine to copy a running request's memory to another one. Copying 1.6 GB takes 50 ms within a zone
+    // Timeout for an engine to copy the KV cache of a run to another engine. Copying 1.6 GB takes 50 ms within a zone
     // and 100 ms between zones, queued behind other copies.
     Milliseconds relocationCopyTimeout { 1500 };
     // The same for the remainder that is copied once the run has stopped, while the caller waits. A run that starts
@@ -77,9 +77,9 @@
     Milliseconds relocationStopTimeout { 900 };
     // Moves for the same reason are spread over this time.
     Milliseconds relocationSpread { 600 };
-    // A run without a live copy of its memory is not moved before this time after its start.
+    // A run without a live copy of its KV cache is not moved before this time after its start.
     Milliseconds relocateAfter { 500 };
-    // A run that is expected to end sooner than this is not moved: a move costs a copy of its memory, a retry and a
+    // A run that is expected to end sooner than this is not moved: a move costs a copy of its KV cache, a retry and a
     // short pause, and a second failure within this time is rare.
     Milliseconds minTimeLeftForRelocation { 2500 };
     // How long a stream without an event waits for an endpoint when none is available.
@@ -90,8 +90,8 @@
     // Number of engines whose load is queried before a prompt is sent to one of them: the best according to what this
     // VM knows. Each query has a cost (docs/POLICY.md has the trials).
     std::size_t loadProbeSize { 4 };
-    // Timeout of a load query. Within a zone a query takes 1 to 2 ms, and processing the prompt then takes some hundred
-    // milliseconds.
+    // Timeout of a load query. Within a zone a query takes 1 to 2 ms, and the prefill of the prompt then takes some
+    // hundred milliseconds.
     Milliseconds loadProbeTimeout { 60 };
     // After the first answer, the others get the same time again, but no less than this.
     Milliseconds minLoadProbeWait { 5 };
@@ -112,8 +112,8 @@
     unsigned zoneFailureCount { 2 };
     Milliseconds zoneFailureWindow { 400 };
     Milliseconds avoidZone { 1000 };
-    // How long an endpoint of such a zone is doubted if nothing has been heard of it since: a failed one stays in the
-    // list for three of its heartbeats of 1.2 s.
+    // How long an endpoint of such a zone is suspected if no sign of life has arrived from it since: a failed one stays
+    // in the list for three of its heartbeats of 1.2 s.
     Milliseconds suspectAfterZoneFailure { 4000 };
     // How long an endpoint whose entry has disappeared may serve as a last resort: entries also expire while the list's
     // source is unavailable. The adapter sets it from the time that the deployment allows and the maximum age of the
@@ -123,11 +123,11 @@
     // that were added after the copy write their entries again, and the update takes time to arrive. The adapter sets
     // this and the next one from the interval at which endpoints write their entries.
     Milliseconds keepMissingEndpointsFor { 2400 };
-    // The same for endpoints that the restored list contains although they are known to have gone: the entry of an
+    // The same for endpoints that the restored list contains although they are known to be gone: the entry of an
     // endpoint that is no longer alive expires within this time.
     Milliseconds ignoreGoneEndpointsFor { 4100 };
 
-    // Default time after which a refused caller is told to retry.
+    // Default retry delay of a refused caller.
     Milliseconds retryAfter { 250 };
 
     // After a shutdown request the VM accepts new requests for the first time, because the load balancer needs two
--- a/src/relay/RequestKind.h
+++ b/src/relay/RequestKind.h
@@ -8,7 +8,7 @@
 enum class RequestKind {
     Idempotent, // May run more than once.
     NonIdempotent, // Runs at most once.
-    EventStream, // Answered by a series of events; may be resumed where its route says so.
+    EventStream, // Answered by a series of events; may be resumed where its route allows it.
 };
 
 inline constexpr std::array<EnumName<RequestKind>, 3> requestKindNames { {
--- a/src/relay/RequestRollout.h
+++ b/src/relay/RequestRollout.h
@@ -1,10 +1,10 @@
 // One request's part in its service's rollout, if there is one: selects the versions of the runners to which the
 // request may be sent, and reports the quality of their answers.
 //
-//     RequestRollout part(context, request);
-//     wanted.version = part.next();                // The same choice until the request has been sent.
-//     part.noteSent();
-//     part.noteAnswer(*endpoint, AnswerQuality::Bad);
+//     RequestRollout rollout(context, request);
+//     placementRequest.version = rollout.next();   // The same choice until the request has been sent.
+//     rollout.noteSent();
+//     rollout.noteAnswer(*endpoint, AnswerQuality::Bad);
 //
 // Used on the relay's thread only. The context and the request must outlive it.
 #pragma once
--- a/src/relay/RetryBudget.h
+++ b/src/relay/RetryBudget.h
@@ -8,12 +8,13 @@
 // number. A request does not count towards its own retries: a VM with few requests needs retries just when it has one
 // request more than usual, and in a fleet of hundreds that adds up to several hundred retries. In a large fleet a part
 // is only a few retries, so that fractions matter: each VM rounds up or down by a hash of its name, so that the sum
-// over VMs is the sum of the parts. Retries that save an answer in progress may spend the whole part. Retries that are
-// only a precaution, or that follow from a full service, which affects all VMs at once, leave some of it for those.
+// over VMs is the sum of the parts. Retries that save an answer in progress may spend the whole part. Proactive
+// retries, and those after a rejection by a full service, which affects all VMs at once, leave some of it for the
+// former.
 //
 // A VM that has just started takes no share of the fixed number for a while, and a smaller share of what its requests
-// earn (RelaySettings::retrySlackStartsAt): it knows neither what its previous process has spent nor whether other VMs
-// count it already.
+// add to the budget (RelaySettings::retrySlackStartsAt): it knows neither what its previous process has spent nor
+// whether other VMs count it already.
 //
 // One budget per service. Used on the relay's thread only.
 #pragma once
--- a/src/relay/RunLivenessMonitor.h
+++ b/src/relay/RunLivenessMonitor.h
@@ -4,11 +4,11 @@
 // of the engine's availability zone. An engine counts as silent when it does not answer a probe, or when its stream
 // pauses for too long although it answers. A run that must not be repeated is probed, but never counts as silent.
 //
-//     const auto watch = RunLivenessMonitor::make(context, request, { onSilent, onChecked });
-//     watch->begin(run);               // Until stop() or the next run.
+//     const auto monitor = RunLivenessMonitor::make(context, request, { onSilent, onChecked });
+//     monitor->begin(run);             // Until stop() or the next run.
 //
-// Used on the relay's thread only. Owned by the stream's call; after the call is gone neither callbacks nor the timer
-// run.
+// Used on the relay's thread only. Owned by the stream's call; after the call's destruction neither callbacks nor the
+// timer run.
 #pragma once
 
 #include "relay/StreamRun.h"
@@ -31,7 +31,7 @@
         std::function<void()> onChecked;
     };
 
-    // The request must outlive the watch.
+    // The request must outlive the monitor.
     static std::shared_ptr<RunLivenessMonitor> make(RelayContext&, const RelayRequest&, Callbacks);
     ~RunLivenessMonitor();
 
--- a/src/relay/RunLocations.h
+++ b/src/relay/RunLocations.h
@@ -1,9 +1,9 @@
 // Shares among the VMs at which engines the runs of prompts are.
 //
-// A caller whose VM has died comes back to another VM. That VM sends the request to the engine that was running it,
-// which has the prompt in its cache, or to the engine that holds a copy of the run, if it can look them up.
-// Locations are hints: they may be lost or outdated, and only the choice of an engine depends on them. Used on the
-// relay's thread only.
+// A caller whose VM has failed reconnects to another VM. That VM sends the request to the engine that was running it,
+// which has the prompt in its cache, or to the engine that holds a copy of the run, if it can look them up. Locations
+// are hints: they may be lost or outdated, and only the choice of an engine depends on them. Used on the relay's thread
+// only.
 #pragma once
 
 #include "http/SocketAddress.h"
--- a/src/relay/RunMover.h
+++ b/src/relay/RunMover.h
@@ -30,7 +30,7 @@
     RelocationResult result;
     std::shared_ptr<RelayEndpoint> source;
     std::shared_ptr<RelayEndpoint> target;
-    // Names the KV cache for the run that continues; empty unless the result is Moved or Stopped.
+    // Identifies the KV cache for the run that continues; empty unless the result is Moved or Stopped.
     std::string handle;
 };
 
@@ -55,7 +55,7 @@
 
     // Begins to move the run if it lacks a copy and the move pays off (RelaySettings::minTimeLeftForRelocation).
     void consider(const StreamRun&, const StreamOutlook&, Engines failed);
-    // True once the run may have been told to stop: its stream then ends without its last event.
+    // True once the engine may have received the request to stop the run: its stream then ends without its last event.
     bool isStopping() const;
     // Cancels a move in progress and returns its retry to the budget.
     void cancel();
--- a/src/relay/RunRelocation.cpp
+++ b/src/relay/RunRelocation.cpp
@@ -44,7 +44,7 @@
         m_source->noteSignals(m_context.protocol.decodeAnswer(*outcome.answer), m_context.now());
     const auto moved = outcome.answer ? m_context.protocol.decodeMoveRun(*outcome.answer) : MoveRunAnswer {};
     if (!m_isStopping) {
-        // The run also stays at the source when the source has asked for backoff in the meantime.
+        // The run also stays at the source when the source has requested a back-off in the meantime.
         if (!moved.isCopied || m_source->isInBackOff(m_context.now())) {
             finish(RelocationResult::Refused, "");
             return;
--- a/src/relay/RunRelocation.h
+++ b/src/relay/RunRelocation.h
@@ -1,8 +1,8 @@
 // Moves a run in progress to another engine by copying its KV cache.
 //
 // Works in two steps: a first copy while the run continues, which takes most of the time, and a second one that stops
-// the run and copies only what was added since. So the caller waits only for the short second step, and a target
-// without room is detected before the run is stopped. Used on the relay's thread only. Owned by the stream; no callback
+// the run and copies only what was added since. The caller waits only for the short second step, and a target without
+// free memory is detected before the run is stopped. Used on the relay's thread only. Owned by the stream; no callback
 // follows its destruction.
 #pragma once
 
@@ -34,7 +34,7 @@
 
 class RunRelocation : public std::enable_shared_from_this<RunRelocation> {
 public:
-    // The handle names the KV cache for the run that continues; empty unless the result is Moved or Stopped.
+    // The handle identifies the KV cache for the run that continues; empty unless the result is Moved or Stopped.
     using Callback = std::function<void(RelocationResult, const std::string& handle)>;
 
     static std::shared_ptr<RunRelocation> start(RelayContext&, std::shared_ptr<RelayEndpoint> source,
@@ -42,7 +42,7 @@
 
     const std::shared_ptr<RelayEndpoint>& source() const { return m_source; }
     const std::shared_ptr<RelayEndpoint>& target() const { return m_target; }
-    // True once the run may have been told to stop: its stream then ends without its last event.
+    // True once the source may have received the request to stop the run: its stream then ends without its last event.
     bool isStopping() const { return m_isStopping; }
 
 private:
--- a/src/relay/ServiceConfiguration.h
+++ b/src/relay/ServiceConfiguration.h
@@ -10,9 +10,9 @@
     std::string name;
     // Maximum number of connections that one endpoint accepts from all VMs together.
     std::uint32_t maxConnections { 0 };
-    // True for model engines that can copy a running request's memory to another engine while it grows.
+    // True for model engines that can keep a live copy of a run's KV cache on another engine.
     bool copiesRunningMemory { false };
-    // True for model engines, which can be asked for their load.
+    // True for model engines, which can be probed for their load.
     bool isEngine { false };
     // Number of tokens in one event of a stream, 0 when unknown.
     std::uint32_t tokensPerEvent { 0 };
--- a/src/relay/StartupQueue.cpp
+++ b/src/relay/StartupQueue.cpp
@@ -34,7 +34,7 @@
 
 void StartupQueue::release()
 {
-    // A request that still lacks something is held again.
+    // A request is held again if the configuration or the endpoints are still missing.
     for (const auto& held : std::exchange(m_held, {})) {
         m_context.waitingRequestLimit.leave(held.request.exchange->request().body.size());
         m_onReleased(held.request);
--- a/src/relay/StartupQueue.h
+++ b/src/relay/StartupQueue.h
@@ -1,10 +1,10 @@
-// Holds requests that arrived before the VM knew what it needs to serve them.
+// Holds requests that arrived before the VM had the configuration and the endpoints to serve them.
 //
 // admission/StartupWait decides which requests wait and for how long. This class keeps them in order of arrival, drops
-// one whose caller disconnects, and hands each on when the information has arrived or its time is over.
+// those whose callers disconnect, and passes each on when the information has arrived or its time is over.
 //
 //     StartupQueue queue(context, [this](const StartupQueue::Request& request) { handle(request); });
-//     if (!queue.hold(exchange, arrivedAt, until)) ...        // No room.
+//     if (!queue.hold(exchange, arrivedAt, until)) ...        // The queue is full.
 //     queue.release();                                         // The information has arrived.
 //
 // Used on the relay's thread only. Lives for the process.
@@ -32,9 +32,9 @@
 
     StartupQueue(RelayContext&, ReleaseCallback);
 
-    // Holds the request until the given time or until release(). False when there is no room for it.
+    // Holds the request until the given time or until release(). False when the queue is full.
     bool hold(const Request&, Milliseconds until);
-    // Hands on all requests in order of arrival.
+    // Passes on all requests in order of arrival.
     void release();
 
 private:
--- a/src/relay/StreamResponse.cpp
+++ b/src/relay/StreamResponse.cpp
@@ -12,7 +12,7 @@
 
 namespace lupinknot::internal {
 
-// Passes the events to the caller's connection as it asks for them.
+// Passes the events to the caller's connection as it requests them.
 class StreamResponse::Source final : public HttpBodySource {
 public:
     explicit Source(std::shared_ptr<const StreamResponse> answer)
--- a/src/relay/StreamResponse.h
+++ b/src/relay/StreamResponse.h
@@ -5,7 +5,7 @@
 //
 //     const auto answer = StreamResponse::make(request);
 //     run->number = answer->beginRun();
-//     if (!answer->append(*run, std::move(events))) ...       // The run sent a wrong event; abandon it.
+//     if (!answer->append(*run, std::move(events))) ...       // The run sent a wrong event; cancel the run.
 //     answer->forwardToCaller(run->head, now);
 //
 // Used on the relay's thread only. Owned by the stream's call and by the caller's connection.
@@ -33,7 +33,7 @@
     AttemptNumber beginRun() { return m_events.beginAttempt(); }
     // Returns false when an event of the run does not follow the last one.
     bool append(const StreamRun&, std::vector<CompleteEvent>&&);
-    // Passes the received events to the caller; the first call also sends the head.
+    // Passes the received events to the caller; the first call also sends the response header.
     void forwardToCaller(const HttpResponse& head, Milliseconds now);
     // Marks the answer as complete.
     void complete() { m_isComplete = true; }
--- a/src/relay/StreamRun.h
+++ b/src/relay/StreamRun.h
@@ -21,15 +21,15 @@
     AttemptNumber number { 0 };
     std::shared_ptr<EndpointCall> call;
     std::shared_ptr<RelayEndpoint> endpoint;
-    // The engine that receives a live copy of the run's memory, if any.
+    // The engine that receives a live copy of the run's KV cache, if any.
     std::shared_ptr<RelayEndpoint> copyHolder;
     HttpResponse head;
     AnswerFields fields;
     EventSplitter splitter;
-    // Set while the engine processes the prompt.
+    // Set while the engine prefills the prompt.
     std::unique_ptr<PrefillScope> reading;
     Milliseconds startedAt { 0 };
-    // When the response head arrived, which shows that the engine has started the run; nothing before that.
+    // When the response header arrived, which shows that the engine has started the run; nothing before that.
     std::optional<Milliseconds> headReceivedAt;
     std::optional<Milliseconds> firstEventAt;
     // Time of the last event, or of sending the request if there was none.
--- a/src/relay/StreamTiming.cpp
+++ b/src/relay/StreamTiming.cpp
@@ -73,7 +73,7 @@
     return { kind, run.hasEvent ? RunStart::Producing : withoutEvent, lastSign - since };
 }
 
-// Only the first attempt from the start of a stream shows how fast engines process prompts; for others the engine may
+// Only the first attempt from the start of a stream shows how fast engines prefill prompts; for others the engine may
 // have parts of the prompt cached.
 void StreamTiming::recordPromptTime(const StreamRun& run, Milliseconds now)
 {
--- a/src/relay/StreamTiming.h
+++ b/src/relay/StreamTiming.h
@@ -1,9 +1,9 @@
 // Records the timing of one stream for its service's statistics, and checks whether the stream can finish in time.
 //
-//     StreamTiming pace(context, request);
-//     if (pace.lacksTimeToFinish(lastEventId, isPromptKept)) ...   // Refuse it; it cannot meet its deadline.
-//     pace.recordPromptTime(run, now);                             // The first event has arrived.
-//     pace.recordCompleteAnswer(lastEventId, events, time);        // The stream is complete.
+//     StreamTiming timing(context, request);
+//     if (timing.lacksTimeToFinish(lastEventId, isPromptKept)) ... // Refuse the stream; it cannot meet its deadline.
+//     timing.recordPromptTime(run, now);                           // The first event has arrived.
+//     timing.recordCompleteAnswer(lastEventId, events, time);      // The stream is complete.
 //
 // Used on the relay's thread only. The context and the request outlive it.
 #pragma once
@@ -24,11 +24,12 @@
 
     // Maximum number of events of the whole answer; 0 when unknown.
     std::int64_t maxEvents() const;
-    // True when too little time is left for any engine to finish the stream before its deadline. Processing the prompt
-    // takes no time where an engine still holds it in its cache.
+    // True when too little time is left for any engine to finish the stream before its deadline. The prefill takes no
+    // time where an engine still has the prompt cached.
     bool lacksTimeToFinish(std::uint64_t lastEventId, bool isPromptKept) const;
 
-    // Records the time between a run's head and its first event, which shows whether engines send heads early.
+    // Records the time between a run's response header and its first event, which shows whether engines send headers
+    // early.
     void recordFirstEvent(const StreamRun&, Milliseconds now);
     // Describes a run that its engine did not finish.
     UnfinishedRun describeUnfinishedRun(const StreamRun&, FailureKind, Milliseconds now);
--- a/src/rollout/ExposureBudget.cpp
+++ b/src/rollout/ExposureBudget.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// The rest covers the requests that VMs round up and those that the candidate receives after it has been completed.
+// The rest covers the requests that VMs round up and those that the candidate receives after its rollout is completed.
 constexpr double usedShare = 0.8;
 
 } // namespace
--- a/src/rollout/ExposureBudget.h
+++ b/src/rollout/ExposureBudget.h
@@ -1,7 +1,7 @@
 // Limits how many requests a VM sends to a candidate version, so that all VMs together stay within the deployment's
 // limit without communication and in any order of events.
 //
-// Load pattern: hundreds of VMs learn of an order at the same moment and do not know each other's counts. A bad version
+// Load pattern: hundreds of VMs receive an order at the same moment and do not know each other's counts. A bad version
 // must not have received more than a share of all requests since the order plus a fixed number.
 //
 // Each VM limits itself to the share of its own requests since the order plus its part of the fixed number. Fractions
--- a/src/rollout/Rollout.h
+++ b/src/rollout/Rollout.h
@@ -1,9 +1,9 @@
-// One VM's part in the rollout of one service: which version a request goes to, what the answers have shown, and what
-// this VM has been told.
+// One VM's part in the rollout of one service: which version a request goes to, what the answers have shown, and the
+// newest directive.
 //
 // While an order is undecided, a VM sends some requests to the candidate (ExposureBudget), but only while an aggregator
 // of the evidence (RolloutAggregator) has recently permitted it. A VM that is cut off sends none, so that none arrives
-// long after the other VMs know better. A verdict of an aggregator or the store against the candidate is final.
+// long after the other VMs have stopped. A verdict of an aggregator or the store against the candidate is final.
 //
 //     Rollout rollout(order, { limit, slackShare, vmName });
 //     rollout.noteRequest();
@@ -22,7 +22,7 @@
 
 namespace lupinknot::internal {
 
-// What an aggregator tells the VMs to do about an order.
+// What an aggregator directs the VMs to do about an order.
 enum class RolloutDirective {
     Try, // The evidence is inconclusive: a bounded part of the requests may go to the candidate.
     Ready, // The candidate is good and about to be completed: copies of runs should be placed on it.
@@ -55,12 +55,12 @@
     unsigned exposed() const { return m_budget.consumed(); }
 
     void noteRequest() { m_budget.noteRequest(); }
-    // Which runners a new request may go to. Counts a request that goes to the candidate as exposed.
+    // The runners that a new request may go to. Counts a request that goes to the candidate as exposed.
     VersionChoice choose(Milliseconds now);
     // The same for a request that continues after a failure, or for any other that must not go to an undecided
     // candidate.
     VersionChoice provenChoice(Milliseconds now) const;
-    // Which runners copies of runs should be placed on.
+    // The runners that copies of runs should be placed on.
     VersionChoice choiceForCopies(Milliseconds now) const;
     void noteAnswer(const std::string& route, RunnerVersion, AnswerQuality);
 
--- a/src/rollout/RolloutAggregator.h
+++ b/src/rollout/RolloutAggregator.h
@@ -1,10 +1,10 @@
-// Aggregates what all VMs have seen of a candidate version and tells them what they may do with it.
+// Aggregates what all VMs have observed of a candidate version and directs what they may do with it.
 //
 // A few VMs are aggregators, the first of each availability zone, independently of each other; every VM reports to all
 // of them. None of them is a leader. Each judges by the reports that it has received, and one that judges the candidate
 // bad stops every VM that it reaches. The decision is made by the first one that writes it into the platform's store,
-// on condition that the store holds none. The rollout therefore does not depend on an aggregator that dies, pauses or
-// is cut off, or on agreement between the aggregators.
+// on condition that the store holds no decision yet. The rollout therefore does not depend on an aggregator that fails,
+// pauses or is cut off, or on agreement between the aggregators.
 //
 //     RolloutAggregator aggregator(order, now);
 //     aggregator.addReport("vm-1/17", evidence, isStopped);    // What a process of a VM has counted since its start.
@@ -38,7 +38,7 @@
     // store's answer.
     static constexpr double remainingShareAtCompletion = 0.1;
     // The same for a candidate that is only acceptable, and for the rollback of one with too little evidence: an
-    // aggregator that has heard from few VMs leaves the decision to the others as long as there is time.
+    // aggregator that has reports of few VMs leaves the decision to the others as long as there is time.
     static constexpr double remainingShareAtAcceptance = 0.07;
     static constexpr double remainingShareAtRollBack = 0.03;
     // The same when VMs begin to place copies of running streams on a candidate that looks good: the runs of the
--- a/src/rollout/RolloutJudge.h
+++ b/src/rollout/RolloutJudge.h
@@ -1,8 +1,9 @@
-// Judges a candidate version by what callers have seen of it, compared with the present version over the same time.
+// Judges a candidate version by the answers that callers received, compared with the present version over the same
+// time.
 //
 // Load pattern: a bad version fails a share of its answers, or answers several times slower, at once or later, on all
 // routes or on one. Problems of the platform and of the callers affect both versions alike. Only a tenth of the
-// service's requests may be spent on finding out.
+// service's requests may be sent to the candidate before the decision.
 //
 // A sequential probability ratio test compares the share of bad answers: that of the present version against one that
 // is greater by a fifth of the rest up to 1. It ends as soon as either is a thousand times as likely as the other.
--- a/src/rollout/RolloutOrder.h
+++ b/src/rollout/RolloutOrder.h
@@ -23,7 +23,7 @@
     std::uint64_t era { 0 };
 
     HistoryPosition position() const { return { era, revision }; }
-    // Compares the content, whenever it was written.
+    // Compares the content only, not when it was written.
     bool asksSameAs(const RolloutOrder& other) const
     {
         return service == other.service && candidate == other.candidate && duration == other.duration;
@@ -34,7 +34,7 @@
 enum class RolloutDecision {
     Undecided,
     Completed, // Only the candidate serves; the present version's runners end at once.
-    RolledBack, // Only the present version serves; the candidate's runners leave.
+    RolledBack, // Only the present version serves; the candidate's runners shut down.
 };
 
 inline constexpr std::array<EnumName<RolloutDecision>, 3> rolloutDecisionNames { {
--- a/src/rollout/VersionEvidence.h
+++ b/src/rollout/VersionEvidence.h
@@ -1,5 +1,5 @@
-// What callers have seen of a candidate version and, over the same time, of the present one. Counts are kept by route,
-// because a version may be bad on a single route.
+// Answers that callers received from a candidate version and, over the same time, of the present one. Counts are kept
+// by route, because a version may be bad on a single route.
 //
 //     evidence.note("captions", RunnerVersion::Candidate, AnswerQuality::Bad);
 //     fleet.add(evidence);                                    // Adds the counts of another VM.
--- a/test/AttemptAdmissionTest.cpp
+++ b/test/AttemptAdmissionTest.cpp
@@ -35,7 +35,7 @@
     CHECK(decideAttempt(state) == AttemptDecision::Undecided);
 }
 
-// Callers may be told that a request has not run only if no endpoint can have run it.
+// A refusal may state that the request has not run only if no endpoint can have run it.
 TEST(AttemptAdmission, ReportsNotRunOnlyWithoutPossibleRuns)
 {
     CHECK(refusalAfter(AttemptDecision::Held, 0) == RefusalReason::HeldInQuarantine);
--- a/test/CrashingRequestTest.cpp
+++ b/test/CrashingRequestTest.cpp
@@ -1,8 +1,8 @@
 // Guards against requests that crash every engine that runs them. The relay treated each loss as a fault of the engine:
 // it retried such a request up to five times per attempt and admitted its caller again at any VM, so that 23 attempts
 // ended 64 engines in 30 seconds (1.5 per second at worst) and delayed 126 of 416 other streams. Such losses can be
-// told apart from engine faults: on 64 of 77 lost engines exactly one run had begun, without any event, and the engine
-// was otherwise idle, while none of 57 other attempts with three or more sends lost an engine that way.
+// distinguished from engine faults: on 64 of 77 lost engines exactly one run had begun, without any event, and the
+// engine was otherwise idle, while none of 57 other attempts with three or more sends lost an engine that way.
 #include "RelayHarness.h"
 
 #include <CppUTest/TestHarness.h>
@@ -193,13 +193,13 @@
     LONGS_EQUAL(200, caller->head.status);
 }
 
-// Guards against blaming a request for engines that were gone before it arrived. Whatever stands in front of the
+// Guards against counting engines that were lost before a request arrived as crashed by it. The proxy in front of the
 // engines of a lost zone still accepted connections, so that each stream lost four engines within milliseconds, and a
 // request that all callers sent was quarantined for 24 s, later for ten minutes: 178 to 189 of 286 to 430 calls were
 // served where nine tenths have to be. In all 28 losses, on six VMs, the engine had worked for 0 ms and the loss
 // counted half. Most came within 0.6 s after a restart of all VMs, which knew of no loss then, and the trial met
 // another lost engine. A stream's run begins with its prefill, which takes longer than any of these connections lasted.
-// The store coming back in between changed neither the records nor the quarantine times.
+// The store's recovery in between changed neither the records nor the quarantine times.
 TEST(CrashingRequest, IsNotAssumedWhenEnginesWereGoneBefore)
 {
     addInFourZones(8, [](ScriptedConnection& connection, const std::string&) { connection.close(); });
@@ -212,7 +212,7 @@
         200, repeatCall("/stream/1", 1)->head.status, "the request is quarantined for engines that it did not crash");
 }
 
-// Each engine announces that it leaves and stops just after the request has begun there.
+// Each engine announces its shutdown and stops just after the request has begun there.
 TEST(CrashingRequest, IsNotAssumedDuringRollingStop)
 {
     constexpr int stops = 4;
--- a/test/EndpointDirectoryTest.cpp
+++ b/test/EndpointDirectoryTest.cpp
@@ -50,7 +50,7 @@
 
 // An endpoint that announces that it shuts down must not be used even as a last resort. A repeatable call with only
 // this endpoint left untried was sent there, and a late update added to the grace time as a last resort let requests
-// reach endpoints after they had left.
+// reach endpoints after their shutdown.
 TEST(EndpointDirectory, GivesNoWorkToADrainingEndpointEvenWhenItIsTheLastOne)
 {
     directory->replaceAll({ entry("e1", 1) }, now);
@@ -194,7 +194,7 @@
 }
 
 // An engine that returned after a crash and was withdrawn 0.4 s later was listed and removed within one answer of the
-// store. It stayed in use and received a request 3.3 s after it had left.
+// store. It stayed in use and received a request 3.3 s after its shutdown.
 TEST(EndpointDirectory, AnEndpointListedAndRemovedInOneChangeIsRemoved)
 {
     directory->replaceAll({ entry("e1", 1) }, now);
--- a/test/EndpointLimitTest.cpp
+++ b/test/EndpointLimitTest.cpp
@@ -122,8 +122,8 @@
 }
 
 // Guards against refusing a call at once because one endpoint's limit is spent, while another endpoint is only full for
-// a moment. The call was refused with the five seconds of an endpoint that takes a request every five seconds, although
-// the full endpoint had capacity again within the call's deadline.
+// a moment. The call was refused with the retry delay of an endpoint that accepts a request every five seconds,
+// although the full endpoint had capacity again within the call's deadline.
 TEST(EndpointLimit, ACallStillWaitsForAnotherEndpointThatIsFullForAMoment)
 {
     relay->addEndpoint("e1").onRequest(answersWith("Server-Limit: 0.2\r\n"));
--- a/test/EndpointLossesTest.cpp
+++ b/test/EndpointLossesTest.cpp
@@ -56,7 +56,7 @@
     for (int i = 0; i < 3; ++i) {
         const auto id = "a" + std::to_string(i);
         losses.note(loss(id, "a", 1000 + 60 * i, "d"), Milliseconds { 0 });
-        // Another request on the same endpoint, a different one each time.
+        // A different request on the same endpoint each time.
         losses.note(loss(id, "a", 1000 + 60 * i), Milliseconds { 0 });
     }
     CHECK_FALSE(losses.isCorrelatedLoss(loss("a0", "a", 1000, "d"), manyOthers));
--- a/test/EndpointRestTest.cpp
+++ b/test/EndpointRestTest.cpp
@@ -1,5 +1,5 @@
-// Guards against requests to endpoints that have asked this VM to back off (503 with Retry-After) or have announced
-// that they are shutting down.
+// Guards against requests to endpoints that have requested a back-off of this VM (503 with Retry-After) or have
+// announced that they are shutting down.
 #include "RelayHarness.h"
 
 #include <set>
@@ -100,7 +100,7 @@
         CHECK_TEXT(endpoint.requests().size() > before, "the endpoint was not chosen in 100 calls");
     }
 
-    // Sends calls for 800 ms after a rejection that asks for a back-off of 1 s.
+    // Sends calls for 800 ms after a rejection that requests a back-off of 1 s.
     void checkBackOff(const std::string& path, const ScriptedConnection::OnRequest& served)
     {
         auto& backingOff = relay->addEndpoint("e1");
@@ -171,7 +171,7 @@
     LONGS_EQUAL(2, endpoint.requests().size());
 }
 
-// The source of the list may lose an endpoint's entry for some seconds while the endpoint is alive and backs off.
+// The source of the list may lose an endpoint's entry for some seconds while the endpoint is alive and in back-off.
 TEST(EndpointRest, SurvivesTheExpiryAndReturnOfTheEndpointsEntry)
 {
     auto& backingOff = relay->addEndpoint("e1");
--- a/test/EndpointSignalsTest.cpp
+++ b/test/EndpointSignalsTest.cpp
@@ -20,7 +20,7 @@
     CHECK(signals.accepts(now + Milliseconds { 800 }));
 }
 
-// Answers to concurrent requests may ask for back-offs of different lengths.
+// Answers to concurrent requests may request back-offs of different lengths.
 TEST(EndpointSignals, KeepsLongestOfOverlappingBackOffs)
 {
     CHECK(signals.noteBackOff(Milliseconds { 3000 }, now));
--- a/test/LimitKeeperTest.cpp
+++ b/test/LimitKeeperTest.cpp
@@ -56,7 +56,7 @@
         return keeper.ask({ "e1", { perSecond, Milliseconds { 0 } }, patience }, LimitKeeper::primaryShare, now);
     }
 
-    // Asks at this interval for a minute and returns the maximum number granted within any four seconds.
+    // Requests permits at this interval for a minute and returns the maximum number granted within any four seconds.
     std::size_t maxGrantedInFourSeconds(double perSecond, Milliseconds interval)
     {
         std::vector<Milliseconds> granted;
@@ -127,7 +127,7 @@
     CHECK_FALSE(ask(1).isGranted);
     now += Milliseconds { 10 };
     keeper.reportLimit("e1", { std::nullopt, Milliseconds { 0 } }, now);
-    // A VM that has not heard of the end asks with the old limit.
+    // A VM that does not know of the end requests a permit with the old limit.
     const auto answer
         = keeper.ask({ "e1", { 1.0, Milliseconds { 500 } }, Milliseconds { 0 } }, LimitKeeper::primaryShare, now);
     CHECK(answer.isGranted);
--- a/test/QuarantineTest.cpp
+++ b/test/QuarantineTest.cpp
@@ -157,7 +157,7 @@
 }
 
 // Concurrent runs of the same request by many callers: three engines crashed at one instant under three of them, the
-// request was held, and nobody was served for 20 s.
+// request was held, and no caller was served for 20 s.
 TEST(Quarantine, ConcurrentRunsLostTogetherCountAsOne)
 {
     for (int i = 0; i < 5; ++i) {
@@ -179,7 +179,7 @@
     CHECK(quarantine.isHeld("d", start));
 }
 
-// A VM that restarts learns of old crashes: the hold ends when it would have ended without the restart.
+// A VM that restarts receives records of old crashes: the hold ends when it would have ended without the restart.
 TEST(Quarantine, HoldStartsAtLatestLossWhateverTheOrderOfRecords)
 {
     add("e3", fullSuspicion, start + Milliseconds { 300 }, true);
--- a/test/StartupWaitTest.cpp
+++ b/test/StartupWaitTest.cpp
@@ -53,8 +53,8 @@
     CHECK(decide(10, maxStartupTime.count(), {}, true).action == StartupAction::Serve);
 }
 
-// 295 killed VMs restart and learn their configuration after a median of 40 ms, 70 ms at the 95th percentile, while 320
-// callers a second arrive. Without waiting, every caller that arrives before the configuration is refused.
+// 295 killed VMs restart and receive their configuration after a median of 40 ms, 70 ms at the 95th percentile, while
+// 320 callers a second arrive. Without waiting, every caller that arrives before the configuration is refused.
 TEST(StartupWait, FleetRestartReplayRefusesNoCaller)
 {
     std::mt19937 random(1);
--- a/test/WaitForCapacityTest.cpp
+++ b/test/WaitForCapacityTest.cpp
@@ -24,7 +24,7 @@
 
 // How a VM treats a call that finds no capacity.
 enum class Policy {
-    RefuseAtOnce, // Tells the caller to retry after 250 ms, whatever the cause.
+    RefuseAtOnce, // The caller retries after 250 ms, whatever the cause.
     WaitForCapacity,
 };
 
