--- a/src/admission/AttemptAdmission.cpp
+++ b/src/admission/AttemptAdmission.cpp
@@ -33,11 +33,11 @@
     return mayRunOnceMore(state) ? AttemptDecision::Allowed : AttemptDecision::RunsSpent;
 }
 
-RefusalReason refusalAfter(AttemptDecision verdict, unsigned possibleRuns)
+RefusalReason refusalAfter(AttemptDecision decision, unsigned possibleRuns)
 {
-    if (verdict == AttemptDecision::Held)
+    if (decision == AttemptDecision::Held)
         return possibleRuns > 0 ? RefusalReason::CrashedEndpoints : RefusalReason::HeldInQuarantine;
-    if (verdict == AttemptDecision::RetriesSpent && possibleRuns == 0)
+    if (decision == AttemptDecision::RetriesSpent && possibleRuns == 0)
         return RefusalReason::RetryBudgetSpent;
     return RefusalReason::EndpointFailed;
 }
--- a/src/endpoint/EndpointSignals.cpp
+++ b/src/endpoint/EndpointSignals.cpp
@@ -13,12 +13,12 @@
     return isLonger;
 }
 
-bool EndpointSignals::noteLeaving() { return !std::exchange(m_isLeaving, true); }
+bool EndpointSignals::noteShuttingDown() { return !std::exchange(m_isShuttingDown, true); }
 
 void EndpointSignals::merge(const EndpointSignals& earlier)
 {
     m_backOffUntil = std::max(m_backOffUntil, earlier.m_backOffUntil);
-    m_isLeaving = m_isLeaving || earlier.m_isLeaving;
+    m_isShuttingDown = m_isShuttingDown || earlier.m_isShuttingDown;
 }
 
 } // namespace lupinknot::internal
--- a/src/endpoint/EndpointSignals.h
+++ b/src/endpoint/EndpointSignals.h
@@ -21,18 +21,18 @@
     // extended.
     bool noteBackOff(Milliseconds time, Milliseconds now);
     // Records that the incarnation is shutting down. Returns true the first time.
-    bool noteLeaving();
+    bool noteShuttingDown();
     // Adds what was recorded earlier about the same incarnation.
     void merge(const EndpointSignals&);
 
     Milliseconds backOffUntil() const { return m_backOffUntil; }
     bool isInBackOff(Milliseconds now) const { return now < m_backOffUntil; }
-    bool isLeaving() const { return m_isLeaving; }
-    bool accepts(Milliseconds now) const { return !m_isLeaving && !isInBackOff(now); }
+    bool isShuttingDown() const { return m_isShuttingDown; }
+    bool accepts(Milliseconds now) const { return !m_isShuttingDown && !isInBackOff(now); }
 
 private:
     Milliseconds m_backOffUntil { 0 };
-    bool m_isLeaving { false };
+    bool m_isShuttingDown { false };
 };
 
 } // namespace lupinknot::internal
--- a/src/limits/KeeperReachability.cpp
+++ b/src/limits/KeeperReachability.cpp
@@ -9,7 +9,7 @@
 bool KeeperReachability::isSkipped(const std::string& name, Milliseconds now) const
 {
     const auto unanswered = m_unanswered.find(name);
-    return unanswered != m_unanswered.end() && now - unanswered->second.askedLastAt < skippedFor;
+    return unanswered != m_unanswered.end() && now - unanswered->second.lastRequestAt < skippedFor;
 }
 
 bool KeeperReachability::noteAnswer(const std::string& name, bool hasAnswered, Milliseconds now)
@@ -19,7 +19,7 @@
         return false;
     }
     const auto [unanswered, isNew] = m_unanswered.try_emplace(name, UnansweredPeriod { now, now });
-    unanswered->second.askedLastAt = now;
+    unanswered->second.lastRequestAt = now;
     return isNew;
 }
 
--- a/src/limits/KeeperReachability.h
+++ b/src/limits/KeeperReachability.h
@@ -37,7 +37,7 @@
     // A VM that does not answer.
     struct UnansweredPeriod {
         Milliseconds since;
-        Milliseconds askedLastAt;
+        Milliseconds lastRequestAt;
     };
 
     std::map<std::string, UnansweredPeriod> m_unanswered;
--- a/src/limits/KnownLimit.cpp
+++ b/src/limits/KnownLimit.cpp
@@ -4,7 +4,7 @@
 
 LimitChange KnownLimit::noteAnswer(std::optional<double> perSecond, Milliseconds sentAt, Milliseconds now)
 {
-    const bool isNewer = perSecond || (m_perSecond && sentAt >= m_heardAt);
+    const bool isNewer = perSecond || (m_perSecond && sentAt >= m_statedAt);
     if (!isNewer)
         return LimitChange::None;
     const bool wasFresh = isFresh(now);
@@ -12,16 +12,16 @@
     return change == LimitChange::None && !wasFresh ? LimitChange::Confirmed : change;
 }
 
-LimitChange KnownLimit::notePeerReport(std::optional<double> perSecond, Milliseconds heardAt)
+LimitChange KnownLimit::notePeerReport(std::optional<double> perSecond, Milliseconds statedAt)
 {
-    return heardAt > m_heardAt ? set(perSecond, heardAt) : LimitChange::None;
+    return statedAt > m_statedAt ? set(perSecond, statedAt) : LimitChange::None;
 }
 
-LimitChange KnownLimit::set(std::optional<double> perSecond, Milliseconds heardAt)
+LimitChange KnownLimit::set(std::optional<double> perSecond, Milliseconds statedAt)
 {
     const auto before = m_perSecond;
     m_perSecond = perSecond;
-    m_heardAt = heardAt;
+    m_statedAt = statedAt;
     if (before == perSecond)
         return LimitChange::None;
     if (!perSecond)
--- a/src/limits/KnownLimit.h
+++ b/src/limits/KnownLimit.h
@@ -38,21 +38,21 @@
     // A limit that no answer has stated for this long may have changed.
     static constexpr Milliseconds freshFor { 1000 };
 
-    bool isFresh(Milliseconds now) const { return now - m_heardAt < freshFor; }
+    bool isFresh(Milliseconds now) const { return now - m_statedAt < freshFor; }
     // Empty if the endpoint states no limit.
     const std::optional<double>& perSecond() const { return m_perSecond; }
     // When an answer last stated the limit, or that there is none; 0 if never.
-    Milliseconds heardAt() const { return m_heardAt; }
+    Milliseconds statedAt() const { return m_statedAt; }
     // Records the limit in an answer that arrives now to a request sent at `sentAt`.
     LimitChange noteAnswer(std::optional<double> perSecond, Milliseconds sentAt, Milliseconds now);
-    // Records the limit that another VM received at `heardAt`, if that is newer.
-    LimitChange notePeerReport(std::optional<double> perSecond, Milliseconds heardAt);
+    // Records a limit that another VM received at `statedAt`, unless a newer one is known.
+    LimitChange notePeerReport(std::optional<double> perSecond, Milliseconds statedAt);
 
 private:
-    LimitChange set(std::optional<double> perSecond, Milliseconds heardAt);
+    LimitChange set(std::optional<double> perSecond, Milliseconds statedAt);
 
     std::optional<double> m_perSecond;
-    Milliseconds m_heardAt { 0 };
+    Milliseconds m_statedAt { 0 };
 };
 
 } // namespace lupinknot::internal
--- a/src/limits/LimitKeeper.cpp
+++ b/src/limits/LimitKeeper.cpp
@@ -23,7 +23,10 @@
 // the last one.
 constexpr std::size_t maxTrackedReturns = 1000;
 
-LimitReport reportOf(const KnownLimit& limit, Milliseconds now) { return { limit.perSecond(), now - limit.heardAt() }; }
+LimitReport reportOf(const KnownLimit& limit, Milliseconds now)
+{
+    return { limit.perSecond(), now - limit.statedAt() };
+}
 
 } // namespace
 
--- a/src/model/LimitModel.cpp
+++ b/src/model/LimitModel.cpp
@@ -312,7 +312,7 @@
     auto& vm = m_vms[number];
     while (rank < m_keepers.size() && m_keepers[rank] != number && vm.watch.isSkipped(m_names[m_keepers[rank]], m_now))
         ++rank;
-    const LimitReport report { knownLimit(vm), m_now - vm.limit.heardAt() };
+    const LimitReport report { knownLimit(vm), m_now - vm.limit.statedAt() };
     const PermitRequest request { endpointName(number), report,
         randomUnit() < 0.5 ? sendSlotTimeout : Milliseconds { 0 } };
     const auto incarnation = vm.incarnation;
--- a/src/quarantine/CrashWeight.cpp
+++ b/src/quarantine/CrashWeight.cpp
@@ -27,7 +27,7 @@
 
 double crashWeight(const UnfinishedRun& run)
 {
-    if (!looksLikeCrash(run.failure) || run.wasLeaving)
+    if (!looksLikeCrash(run.failure) || run.wasShuttingDown)
         return 0;
     const bool hasJustBegun = run.workedFor <= maxAgeOfNewRun;
     switch (run.beginning) {
--- a/src/quarantine/CrashWeight.h
+++ b/src/quarantine/CrashWeight.h
@@ -41,7 +41,7 @@
     // when the request was sent.
     Milliseconds workedFor { 0 };
     // The endpoint had announced its shutdown.
-    bool wasLeaving { false };
+    bool wasShuttingDown { false };
 };
 
 inline constexpr double fullSuspicion = 1;
--- a/src/relay/BufferedCall.cpp
+++ b/src/relay/BufferedCall.cpp
@@ -33,7 +33,7 @@
     : m_context(context)
     , m_request(std::move(request))
     , m_rollout(m_context, m_request)
-    , m_crashWatch(m_context, m_request)
+    , m_crashTracker(m_context, m_request)
     , m_deadlineTimer(context.ioContext)
     , m_hedgeTimer(context.ioContext)
     , m_waitTimer(context.ioContext)
@@ -44,7 +44,7 @@
 
 void BufferedCall::begin()
 {
-    m_crashWatch.begin([weak = weak_from_this()] {
+    m_crashTracker.begin([weak = weak_from_this()] {
         if (const auto self = weak.lock(); self && !self->m_isFinished)
             self->refuseAsHeld();
     });
@@ -89,13 +89,13 @@
     if (!endpoint || m_request.deadline <= now)
         return false;
     if (endpoint->isLimited())
-        askForPermit(endpoint, tookRetry);
+        requestPermit(endpoint, tookRetry);
     else
         sendTo(endpoint, tookRetry);
     return true;
 }
 
-void BufferedCall::askForPermit(const std::shared_ptr<RelayEndpoint>& endpoint, bool tookRetry)
+void BufferedCall::requestPermit(const std::shared_ptr<RelayEndpoint>& endpoint, bool tookRetry)
 {
     const auto now = m_context.now();
     auto other = healthyEndpoint();
@@ -169,7 +169,7 @@
 void BufferedCall::hedge()
 {
     // Do not risk a second endpoint with a request that may have crashed the earlier ones.
-    if (!hasOpenAttempt() || m_possibleRuns >= m_request.route->maxAttempts || m_crashWatch.isSuspect())
+    if (!hasOpenAttempt() || m_possibleRuns >= m_request.route->maxAttempts || m_crashTracker.isSuspect())
         return;
     if (!m_context.retryBudget(m_request.service).take(RetryPurpose::Proactive, m_request.admittedAt, m_context.now()))
         return;
@@ -193,7 +193,7 @@
         [](const std::unique_ptr<Attempt>& attempt) { return !attempt->call || !attempt->call->isOver(); });
 }
 
-void BufferedCall::callHead(EndpointCall& call, const HttpResponse& head, const AnswerFields& fields)
+void BufferedCall::callHeader(EndpointCall& call, const HttpResponse& head, const AnswerFields& fields)
 {
     auto& attempt = attemptOf(call);
     attempt.answer.status = head.status;
@@ -219,8 +219,8 @@
             .text("request", m_request.fields.requestId)
             .text("endpoint", endpoint->entry().id)
             .number("status", status)
-            .number("retry_after_ms", attempt.fields.rest.time.value_or(Milliseconds { -1 }).count())
-            .flag("leaving", attempt.fields.isLeaving)
+            .number("retry_after_ms", attempt.fields.backOff.time.value_or(Milliseconds { -1 }).count())
+            .flag("leaving", attempt.fields.isShuttingDown)
             .write();
         const auto now = m_context.now();
         if (attempt.fields.isOtherIncarnation)
@@ -235,7 +235,7 @@
         callFailed(*attempt.call, FailureKind::MalformedEvent);
         return;
     }
-    m_crashWatch.noteHarmless();
+    m_crashTracker.noteHarmless();
     if (status >= firstServerError)
         m_rollout.noteAnswer(*endpoint, AnswerQuality::Bad);
     else
@@ -277,7 +277,7 @@
             m_context.retryBudget(m_request.service).giveBack();
     } else {
         m_rollout.noteAnswer(*endpoint, AnswerQuality::Bad);
-        m_crashWatch.noteUnfinished(endpoint, call.startedAt(), { kind, RunStart::Assumed, now - call.startedAt() });
+        m_crashTracker.noteUnfinished(endpoint, call.startedAt(), { kind, RunStart::Assumed, now - call.startedAt() });
         endpoint->avoidUntil(now + settings.avoidAfterBrokenAnswer);
     }
     recover(wasSent ? RefusalReason::EndpointFailed : RefusalReason::NoEndpoint);
@@ -288,22 +288,22 @@
 {
     if (m_permit)
         return;
-    auto verdict = decideAttempt(m_crashWatch.attemptState(m_possibleRuns));
-    if (verdict == AttemptDecision::Held) {
-        refuse(refusalAfter(verdict, m_possibleRuns));
+    auto attemptDecision = decideAttempt(m_crashTracker.attemptState(m_possibleRuns));
+    if (attemptDecision == AttemptDecision::Held) {
+        refuse(refusalAfter(attemptDecision, m_possibleRuns));
         return;
     }
-    if (verdict == AttemptDecision::Undecided) {
+    if (attemptDecision == AttemptDecision::Undecided) {
         recoverLater(lastReason);
         return;
     }
     auto& budget = m_context.retryBudget(m_request.service);
     const bool isRetry = mayHaveArrived();
-    if (verdict == AttemptDecision::Allowed && isRetry
+    if (attemptDecision == AttemptDecision::Allowed && isRetry
         && !budget.take(retryPurposeAfter(lastReason), m_request.admittedAt, m_context.now()))
-        verdict = AttemptDecision::RetriesSpent;
+        attemptDecision = AttemptDecision::RetriesSpent;
     // Endpoints that are known to be full or unreachable are not tried one after another; the call waits instead.
-    if (verdict == AttemptDecision::Allowed) {
+    if (attemptDecision == AttemptDecision::Allowed) {
         if (sendNext(mayWait() ? healthyEndpoint() : anyEndpoint(), isRetry))
             return;
         if (isRetry)
@@ -317,7 +317,8 @@
     } else if (m_possibleRuns > 0) {
         refuse(RefusalReason::EndpointFailed);
     } else {
-        waitForCapacity(verdict == AttemptDecision::RetriesSpent ? RefusalReason::RetryBudgetSpent : lastReason);
+        waitForCapacity(
+            attemptDecision == AttemptDecision::RetriesSpent ? RefusalReason::RetryBudgetSpent : lastReason);
     }
 }
 
@@ -381,7 +382,7 @@
     });
 }
 
-void BufferedCall::leaveWaitingRoom()
+void BufferedCall::leaveWaitingRequestLimit()
 {
     if (std::exchange(m_isWaiting, false))
         m_context.waitingRequestLimit.leave(m_request.exchange->request().body.size());
@@ -389,7 +390,7 @@
 
 void BufferedCall::retryAfterWait(RefusalReason lastReason)
 {
-    leaveWaitingRoom();
+    leaveWaitingRequestLimit();
     m_triedEndpoints.clear();
     auto& budget = m_context.retryBudget(m_request.service);
     const bool isRetry = mayHaveArrived();
@@ -454,10 +455,10 @@
         .number("took_ms", (now - m_request.admittedAt).count())
         .write();
     m_context.metrics.countRequest(m_request.route->kind, traits.status, now - m_request.admittedAt);
-    const auto comeBackIn = reason == RefusalReason::HeldInQuarantine
+    const auto retryDelay = reason == RefusalReason::HeldInQuarantine
         ? m_context.crashGuard.quarantineTimeLeft(m_request.digest)
         : retryDelayAfterRefusal(unplaced(reason), now);
-    m_request.exchange->respond(refusal(m_context, reason, comeBackIn));
+    m_request.exchange->respond(refusal(m_context, reason, retryDelay));
     finish();
 }
 
@@ -466,12 +467,12 @@
     if (m_isFinished)
         return;
     m_isFinished = true;
-    m_crashWatch.end();
+    m_crashTracker.end();
     m_deadlineTimer.cancel();
     m_hedgeTimer.cancel();
     m_waitTimer.cancel();
     m_permit.reset();
-    leaveWaitingRoom();
+    leaveWaitingRequestLimit();
     for (const auto& attempt : m_attempts)
         attempt->call->cancel();
 }
--- a/src/relay/BufferedCall.h
+++ b/src/relay/BufferedCall.h
@@ -30,7 +30,7 @@
     static void serve(RelayContext&, RelayRequest);
     ~BufferedCall() override;
 
-    void callHead(EndpointCall&, const HttpResponse&, const AnswerFields&) override;
+    void callHeader(EndpointCall&, const HttpResponse&, const AnswerFields&) override;
     void callBody(EndpointCall&, std::string_view) override;
     void callEnded(EndpointCall&) override;
     void callFailed(EndpointCall&, FailureKind) override;
@@ -51,7 +51,7 @@
     // available. If the call can wait instead, only an endpoint without known problems is acceptable.
     bool sendNext(const PlacementRequest&, bool tookRetry);
     void sendTo(const std::shared_ptr<RelayEndpoint>&, bool tookRetry);
-    void askForPermit(const std::shared_ptr<RelayEndpoint>&, bool tookRetry);
+    void requestPermit(const std::shared_ptr<RelayEndpoint>&, bool tookRetry);
     void permitAnswered(const std::shared_ptr<RelayEndpoint>&, bool isGranted, bool tookRetry);
     PlacementRequest anyEndpoint();
     PlacementRequest healthyEndpoint();
@@ -62,7 +62,7 @@
     UnplacedRequest unplaced(RefusalReason lastReason);
     WaitingCall waitingCall() const;
     void retryAfterWait(RefusalReason lastReason);
-    void leaveWaitingRoom();
+    void leaveWaitingRequestLimit();
     // Pseudo-random number from 0 to 1 that differs between calls and between waits of a call.
     double jitter() const;
     // True when an earlier attempt may have reached its endpoint, which makes the next attempt a retry.
@@ -84,7 +84,7 @@
     RelayContext& m_context;
     const RelayRequest m_request;
     RequestRollout m_rollout;
-    CrashTracker m_crashWatch;
+    CrashTracker m_crashTracker;
     std::vector<std::unique_ptr<Attempt>> m_attempts;
     // Set while a permit request is pending.
     std::shared_ptr<PermitWait> m_permit;
--- a/src/relay/CallProtocol.h
+++ b/src/relay/CallProtocol.h
@@ -93,9 +93,9 @@
     // True when the address belongs to another incarnation than the one that the request was meant for.
     bool isOtherIncarnation { false };
     StatedLimit limit {};
-    RequestedBackOff rest {};
+    RequestedBackOff backOff {};
     // True when the endpoint announces that it is shutting down.
-    bool isLeaving { false };
+    bool isShuttingDown { false };
 };
 
 // Stateless and thread-safe.
--- a/src/relay/CrashTracker.cpp
+++ b/src/relay/CrashTracker.cpp
@@ -62,7 +62,7 @@
 void CrashTracker::noteUnfinished(
     const std::shared_ptr<RelayEndpoint>& endpoint, Milliseconds sentAt, UnfinishedRun run)
 {
-    run.wasLeaving = endpoint->isLeaving();
+    run.wasShuttingDown = endpoint->isShuttingDown();
     m_context.crashGuard.noteLoss({ m_request.fields.requestId, m_request.digest, endpoint, sentAt, run });
 }
 
--- a/src/relay/EndpointCall.cpp
+++ b/src/relay/EndpointCall.cpp
@@ -87,9 +87,9 @@
         return;
     }
     if (isFromEndpoint && m_endpoint->noteLimit(fields.limit, m_startedAt, now))
-        m_context.permits->reportLimit(m_endpoint->entry().incarnationName(), m_endpoint->limitNews(now));
+        m_context.permits->reportLimit(m_endpoint->entry().incarnationName(), m_endpoint->limitReport(now));
     if (const auto listener = m_listener.lock())
-        listener->callHead(*this, head, fields);
+        listener->callHeader(*this, head, fields);
 }
 
 void EndpointCall::responseBodyReceived(std::string_view piece)
--- a/src/relay/EndpointCall.h
+++ b/src/relay/EndpointCall.h
@@ -4,7 +4,7 @@
 // of the response to the next request on the connection.
 //
 //     auto call = EndpointCall::start(context, endpoint, request, options, listener);
-//     ...                                  // listener->callHead(), callBody(), then callEnded() or callFailed()
+//     ...                                  // listener->callHeader(), callBody(), then callEnded() or callFailed()
 //     call->cancel();                      // Closes the connection, which makes the endpoint stop its work.
 //
 // Used on the relay's thread only. Owned by its user; holds the listener weakly.
@@ -24,7 +24,7 @@
 class EndpointCallListener {
 public:
     virtual ~EndpointCallListener() = default;
-    virtual void callHead(EndpointCall&, const HttpResponse& head, const AnswerFields&) = 0;
+    virtual void callHeader(EndpointCall&, const HttpResponse& head, const AnswerFields&) = 0;
     virtual void callBody(EndpointCall&, std::string_view piece) = 0;
     virtual void callEnded(EndpointCall&) = 0;
     // The endpoint may have run the request unless the kind of failure proves that it did not start it.
--- a/src/relay/EndpointDirectory.cpp
+++ b/src/relay/EndpointDirectory.cpp
@@ -66,7 +66,7 @@
         return;
     }
     const auto removal = m_removals.find(entry.incarnationName());
-    entry.isDraining = entry.isDraining || (removal != m_removals.end() && removal->second.signals.isLeaving());
+    entry.isDraining = entry.isDraining || (removal != m_removals.end() && removal->second.signals.isShuttingDown());
 }
 
 bool EndpointDirectory::isKnownGone(const EndpointEntry& entry) const
@@ -80,7 +80,7 @@
 {
     // The announcement that it shuts down is taken over at once: the endpoint may still be in use as a last resort.
     if (entry.isDraining) {
-        m_removals.at(entry.incarnationName()).signals.noteLeaving();
+        m_removals.at(entry.incarnationName()).signals.noteShuttingDown();
         if (const auto known = find(entry.id))
             known->setDraining(now);
     }
@@ -270,7 +270,7 @@
     });
     std::vector<std::shared_ptr<RelayEndpoint>> expired;
     for (const auto& known : m_endpointsById) {
-        if (known.second->isExpired(now, m_settings.leavingEndpointGrace))
+        if (known.second->isExpired(now, m_settings.removedEndpointGrace))
             expired.push_back(known.second);
     }
     for (const auto& endpoint : expired)
--- a/src/relay/EngineChoice.cpp
+++ b/src/relay/EngineChoice.cpp
@@ -91,8 +91,8 @@
 bool EngineChoice::isHealthy(const RelayEndpoint& engine) const
 {
     const auto now = m_context.now();
-    return !engine.isLeaving() && !engine.isAvoided(now) && !engine.isInBackOff(now) && now >= engine.noPermitUntil()
-        && !m_context.directory.isZoneAvoided(engine.entry().availabilityZone, now)
+    return !engine.isShuttingDown() && !engine.isAvoided(now) && !engine.isInBackOff(now)
+        && now >= engine.noPermitUntil() && !m_context.directory.isZoneAvoided(engine.entry().availabilityZone, now)
         && !m_context.directory.isSuspected(engine, now);
 }
 
@@ -119,13 +119,13 @@
 PlacementRequest EngineChoice::placementRequest() const
 {
     const auto& settings = m_context.settings;
-    PlacementRequest wanted { .service = m_request.service, .excluded = m_failed, .version = m_rollout.next() };
+    PlacementRequest conditions { .service = m_request.service, .excluded = m_failed, .version = m_rollout.next() };
     if (!m_failed.empty())
-        wanted.zonesToAvoid.push_back(m_failed.back()->entry().availabilityZone);
+        conditions.zonesToAvoid.push_back(m_failed.back()->entry().availabilityZone);
     if (m_context.has(Policy::PromptPreference))
-        wanted.promptId = m_request.fields.promptId;
-    wanted.preference = m_request.fields.lastEventId ? settings.returningPreference : settings.promptPreference;
-    return wanted;
+        conditions.promptId = m_request.fields.promptId;
+    conditions.preference = m_request.fields.lastEventId ? settings.returningPreference : settings.promptPreference;
+    return conditions;
 }
 
 void EngineChoice::choose(const Callback& callback)
@@ -199,13 +199,13 @@
     if (!m_context.has(Policy::GrowingCopies) || !service || !service->copiesRunningMemory
         || !m_request.route->mayRunAgain())
         return nullptr;
-    const PlacementRequest wanted { .service = m_request.service,
+    const PlacementRequest conditions { .service = m_request.service,
         .excluded = m_failed,
         .zonesToAvoid = { engine.entry().availabilityZone },
         .version = m_rollout.choiceForCopies(engine),
         .mustBeHealthy = true,
         .limited = LimitedEndpoints::Unrestricted };
-    return m_context.placement.choose(wanted, m_context.now());
+    return m_context.placement.choose(conditions, m_context.now());
 }
 
 Milliseconds EngineChoice::permitTimeoutFor(bool isFromCopy) const
--- a/src/relay/EngineForecast.cpp
+++ b/src/relay/EngineForecast.cpp
@@ -17,11 +17,11 @@
 // prompts that other VMs send at the same time.
 constexpr double plannedMemoryShare = 0.95;
 // An engine without free memory makes the request wait until runs end, or preempts another run.
-constexpr Milliseconds noRoomDelay { 20000 };
+constexpr Milliseconds noMemoryDelay { 20000 };
 // A report may be wrong, so that no report raises an engine's delay above this.
 constexpr Milliseconds longestDelay { 60000 };
 
-bool hasRoom(const EngineWork& work, const EngineReport& report)
+bool hasFreeMemory(const EngineWork& work, const EngineReport& report)
 {
     const auto needed = static_cast<double>(report.memoryUsed) + work.promptTokens + work.maxAnswerTokens;
     return report.memoryTotal == 0 || needed <= plannedMemoryShare * static_cast<double>(report.memoryTotal);
@@ -52,7 +52,7 @@
     const auto slowed = slowdownShare * report.generating * ownPrefill;
     const auto sum = std::min(wait + ownPrefill + slowed, static_cast<double>(longestDelay.count()));
     const Milliseconds delay { static_cast<std::int64_t>(sum) };
-    return hasRoom(work, report) ? delay : std::min(delay + noRoomDelay, longestDelay);
+    return hasFreeMemory(work, report) ? delay : std::min(delay + noMemoryDelay, longestDelay);
 }
 
 Milliseconds forecastDelay(const EngineWork& work, const RelayEndpoint& endpoint, const EnginePace& pace)
--- a/src/relay/EngineLoadProbe.cpp
+++ b/src/relay/EngineLoadProbe.cpp
@@ -13,13 +13,13 @@
 std::shared_ptr<EngineLoadProbe> EngineLoadProbe::start(
     RelayContext& context, const Engines& engines, Callback callback)
 {
-    std::shared_ptr<EngineLoadProbe> survey(new EngineLoadProbe(context, std::move(callback)));
-    survey->m_pending = engines.size();
+    std::shared_ptr<EngineLoadProbe> probe(new EngineLoadProbe(context, std::move(callback)));
+    probe->m_pending = engines.size();
     for (const auto& engine : engines)
-        survey->ask(engine);
-    survey->m_timer.expires_after(context.settings.loadProbeTimeout);
-    survey->awaitRemaining();
-    return survey;
+        probe->ask(engine);
+    probe->m_timer.expires_after(context.settings.loadProbeTimeout);
+    probe->awaitRemaining();
+    return probe;
 }
 
 EngineLoadProbe::EngineLoadProbe(RelayContext& context, Callback callback)
--- a/src/relay/EventStreamCall.cpp
+++ b/src/relay/EventStreamCall.cpp
@@ -37,9 +37,9 @@
 EventStreamCall::EventStreamCall(RelayContext& context, RelayRequest request)
     : m_context(context)
     , m_request(std::move(request))
-    , m_pace(m_context, m_request)
+    , m_timing(m_context, m_request)
     , m_rollout(m_context, m_request)
-    , m_crashWatch(m_context, m_request)
+    , m_crashTracker(m_context, m_request)
     , m_choice(EngineChoice::make(m_context, m_request, m_rollout))
     , m_answer(StreamResponse::make(m_request))
     , m_deadlineTimer(context.ioContext)
@@ -58,14 +58,14 @@
                 (self.get()->*action)();
         };
     };
-    m_watch = RunLivenessMonitor::make(m_context, m_request,
+    m_livenessMonitor = RunLivenessMonitor::make(m_context, m_request,
         { ifNotFinished(&EventStreamCall::runStalled), ifNotFinished(&EventStreamCall::considerMove) });
     m_mover
         = std::make_unique<RunMover>(m_context, m_request, m_rollout, [weak = weak_from_this()](const RunMove& move) {
               if (const auto self = weak.lock(); self && !self->m_isFinished)
                   self->moveFinished(move);
           });
-    m_crashWatch.begin(ifNotFinished(&EventStreamCall::requestBecameHeld));
+    m_crashTracker.begin(ifNotFinished(&EventStreamCall::requestBecameHeld));
     m_deadlineTimer.expires_after(m_request.deadline - m_context.now());
     m_deadlineTimer.async_wait([self = shared_from_this()](boost::system::error_code error) {
         if (!error)
@@ -83,25 +83,25 @@
 
 bool EventStreamCall::mayStartRun()
 {
-    auto verdict = mayRunOnceMore(m_crashWatch.attemptState(m_possibleRuns)) ? AttemptDecision::Allowed
-                                                                             : AttemptDecision::RunsSpent;
-    m_tookRetryForNextRun = verdict == AttemptDecision::Allowed && m_possibleDeliveries > 0;
+    auto attemptDecision = mayRunOnceMore(m_crashTracker.attemptState(m_possibleRuns)) ? AttemptDecision::Allowed
+                                                                                       : AttemptDecision::RunsSpent;
+    m_tookRetryForNextRun = attemptDecision == AttemptDecision::Allowed && m_possibleDeliveries > 0;
     auto& budget = m_context.retryBudget(m_request.service);
     if (m_tookRetryForNextRun && !budget.take(RetryPurpose::Failover, m_request.admittedAt, m_context.now()))
-        verdict = AttemptDecision::RetriesSpent;
-    if (verdict != AttemptDecision::Allowed)
-        giveUp(refusalAfter(verdict, m_possibleRuns));
-    return verdict == AttemptDecision::Allowed;
+        attemptDecision = AttemptDecision::RetriesSpent;
+    if (attemptDecision != AttemptDecision::Allowed)
+        giveUp(refusalAfter(attemptDecision, m_possibleRuns));
+    return attemptDecision == AttemptDecision::Allowed;
 }
 
 bool EventStreamCall::mayBeSent()
 {
-    const auto verdict = decideAttempt(m_crashWatch.attemptState(m_possibleRuns));
-    if (verdict == AttemptDecision::Held)
+    const auto attemptDecision = decideAttempt(m_crashTracker.attemptState(m_possibleRuns));
+    if (attemptDecision == AttemptDecision::Held)
         giveUpAsHeld();
-    else if (verdict == AttemptDecision::Undecided)
+    else if (attemptDecision == AttemptDecision::Undecided)
         startRunLater();
-    return verdict != AttemptDecision::Held && verdict != AttemptDecision::Undecided;
+    return attemptDecision != AttemptDecision::Held && attemptDecision != AttemptDecision::Undecided;
 }
 
 void EventStreamCall::giveUpAsHeld() { giveUp(refusalAfter(AttemptDecision::Held, m_possibleRuns)); }
@@ -124,7 +124,7 @@
     }
     const auto earlier = m_choice->takeEarlierEngine();
     if (m_possibleRuns == 0 && m_context.has(Policy::TimeCheck)
-        && m_pace.lacksTimeToFinish(m_answer->lastEventId(), earlier != nullptr)) {
+        && m_timing.lacksTimeToFinish(m_answer->lastEventId(), earlier != nullptr)) {
         giveUp(RefusalReason::TooLittleTime);
         return;
     }
@@ -206,7 +206,7 @@
     const auto request = m_context.protocol.encodeForward(exchange->request(), fields);
     run->call = EndpointCall::start(
         m_context, endpoint, request, { m_request.fields.requestId, m_context.settings.maxIdleTime }, weak_from_this());
-    m_watch->begin(m_run);
+    m_livenessMonitor->begin(m_run);
 }
 
 void EventStreamCall::waitForEndpoint()
@@ -233,11 +233,11 @@
     });
 }
 
-void EventStreamCall::callHead(EndpointCall& call, const HttpResponse& head, const AnswerFields& fields)
+void EventStreamCall::callHeader(EndpointCall& call, const HttpResponse& head, const AnswerFields& fields)
 {
     if (!m_run || m_run->call.get() != &call)
         return;
-    m_run->headReceivedAt = m_context.now();
+    m_run->headerReceivedAt = m_context.now();
     m_run->head.status = head.status;
     m_run->head.headers = head.headers.endToEnd();
     m_run->fields = fields;
@@ -278,16 +278,16 @@
     run.hasEvent = true;
     if (!run.firstEventAt) {
         run.firstEventAt = now;
-        m_pace.recordFirstEvent(run, now);
+        m_timing.recordFirstEvent(run, now);
     }
-    m_crashWatch.noteProducing(now - *run.firstEventAt);
+    m_crashTracker.noteProducing(now - *run.firstEventAt);
     run.reading.reset();
-    m_watch->noteEvent();
+    m_livenessMonitor->noteEvent();
     if (!m_answer->hasBegun()) {
         const auto usual = m_context.pace(m_request.service).medianTimeToFirstEvent(m_request.fields.promptTokens);
         if (!run.isFromCopy && !m_request.fields.lastEventId)
             m_rollout.noteAnswerAfter(*run.endpoint, now - run.startedAt, usual);
-        m_pace.recordPromptTime(run, now);
+        m_timing.recordPromptTime(run, now);
         logFirstEvent(m_request, run, now);
     }
     m_answer->forwardToCaller(run.head, now);
@@ -345,7 +345,7 @@
     const auto run = std::exchange(m_run, nullptr);
     const auto now = m_context.now();
     --m_possibleRuns;
-    m_watch->stop();
+    m_livenessMonitor->stop();
     run->reading.reset();
     logRunRejected(m_request, *run);
     if (run->fields.isOtherIncarnation) {
@@ -375,13 +375,13 @@
     const bool wasSent = run->call->hasSent();
     run->reading.reset();
     run->call->cancel();
-    m_watch->stop();
+    m_livenessMonitor->stop();
     m_mover->cancel();
     logRunFailed(m_request, *run, *m_answer, kind, now);
     m_context.metrics.countFailure(kind);
     if (wasSent) {
         m_rollout.noteAnswer(*run->endpoint, AnswerQuality::Bad);
-        m_crashWatch.noteUnfinished(run->endpoint, run->startedAt, m_pace.describeUnfinishedRun(*run, kind, now));
+        m_crashTracker.noteUnfinished(run->endpoint, run->startedAt, m_timing.describeUnfinishedRun(*run, kind, now));
     } else {
         --m_possibleRuns;
         --m_possibleDeliveries;
@@ -406,7 +406,7 @@
 void EventStreamCall::considerMove()
 {
     const bool hasAttemptLeft = m_possibleRuns + 1 < m_request.route->maxAttempts;
-    const auto expectedTimeLeft = m_answer->expectedTimeLeft(m_pace.maxEvents(), m_context.now());
+    const auto expectedTimeLeft = m_answer->expectedTimeLeft(m_timing.maxEvents(), m_context.now());
     m_mover->consider(*m_run, { hasAttemptLeft, expectedTimeLeft }, m_choice->failed());
 }
 
@@ -424,7 +424,7 @@
     }
     m_run->call->cancel();
     m_run.reset();
-    m_watch->stop();
+    m_livenessMonitor->stop();
     m_failedAt = m_context.now();
     m_tookRetryForNextRun = true;
     const bool isMoved = move.result == RelocationResult::Moved;
@@ -441,8 +441,8 @@
 {
     m_answer->complete();
     m_choice->forgetLocation();
-    m_crashWatch.noteHarmless();
-    m_pace.recordCompleteAnswer(m_answer->lastEventId(), m_answer->length(), m_answer->duration());
+    m_crashTracker.noteHarmless();
+    m_timing.recordCompleteAnswer(m_answer->lastEventId(), m_answer->length(), m_answer->duration());
     logEnd("complete", m_run->head.status);
     m_request.exchange->wake();
     finish();
@@ -462,15 +462,16 @@
 void EventStreamCall::refuse(RefusalReason reason)
 {
     logEnd(traitsOf(reason).name, traitsOf(reason).status);
-    std::optional<Milliseconds> comeBackIn;
+    std::optional<Milliseconds> retryDelay;
     // A retry with the same time left would fail as well.
     if (reason == RefusalReason::TooLittleTime)
-        comeBackIn = std::max(m_request.deadline - m_context.now(), m_context.settings.retryAfter);
+        retryDelay = std::max(m_request.deadline - m_context.now(), m_context.settings.retryAfter);
     if (reason == RefusalReason::HeldInQuarantine)
-        comeBackIn = m_context.crashGuard.quarantineTimeLeft(m_request.digest);
-    if (const auto opening = isUnavailabilityRefusal(reason) ? m_choice->nextAvailability() : std::nullopt)
-        comeBackIn = retryDelayUntilAvailable(*opening, fractionOfName(m_request.fields.requestId), m_context.now());
-    m_request.exchange->respond(refusal(m_context, reason, comeBackIn));
+        retryDelay = m_context.crashGuard.quarantineTimeLeft(m_request.digest);
+    if (const auto availability = isUnavailabilityRefusal(reason) ? m_choice->nextAvailability() : std::nullopt)
+        retryDelay
+            = retryDelayUntilAvailable(*availability, fractionOfName(m_request.fields.requestId), m_context.now());
+    m_request.exchange->respond(refusal(m_context, reason, retryDelay));
     finish();
 }
 
@@ -486,10 +487,10 @@
     if (m_isFinished)
         return;
     m_isFinished = true;
-    m_crashWatch.end();
+    m_crashTracker.end();
     m_deadlineTimer.cancel();
     m_retryTimer.cancel();
-    m_watch->stop();
+    m_livenessMonitor->stop();
     m_choice->cancel();
     m_permit.reset();
     m_mover->cancel();
--- a/src/relay/EventStreamCall.h
+++ b/src/relay/EventStreamCall.h
@@ -34,7 +34,7 @@
     static void serve(RelayContext&, RelayRequest);
     ~EventStreamCall() override;
 
-    void callHead(EndpointCall&, const HttpResponse&, const AnswerFields&) override;
+    void callHeader(EndpointCall&, const HttpResponse&, const AnswerFields&) override;
     void callBody(EndpointCall&, std::string_view) override;
     void callEnded(EndpointCall&) override;
     void callFailed(EndpointCall&, FailureKind) override;
@@ -78,14 +78,14 @@
 
     RelayContext& m_context;
     const RelayRequest m_request;
-    StreamTiming m_pace;
+    StreamTiming m_timing;
     RequestRollout m_rollout;
-    CrashTracker m_crashWatch;
+    CrashTracker m_crashTracker;
     const std::shared_ptr<EngineChoice> m_choice;
     const std::shared_ptr<StreamResponse> m_answer;
     std::shared_ptr<StreamRun> m_run;
     // Set by begin().
-    std::shared_ptr<RunLivenessMonitor> m_watch;
+    std::shared_ptr<RunLivenessMonitor> m_livenessMonitor;
     // Set while a permit request is pending.
     std::shared_ptr<PermitWait> m_permit;
     // Set by begin().
--- a/src/relay/PermitWait.cpp
+++ b/src/relay/PermitWait.cpp
@@ -13,7 +13,7 @@
 {
     std::shared_ptr<PermitWait> wait(new PermitWait(context, std::move(endpoint), std::move(callback)));
     const auto& target = *wait->m_endpoint;
-    context.permits->ask({ target.entry().incarnationName(), target.limitNews(context.now()), maxWait },
+    context.permits->ask({ target.entry().incarnationName(), target.limitReport(context.now()), maxWait },
         [weak = wait->weak_from_this()](const PermitAnswer& answer) {
             if (const auto self = weak.lock())
                 self->handleAnswer(answer);
@@ -32,7 +32,7 @@
 void PermitWait::handleAnswer(const PermitAnswer& answer)
 {
     const auto now = m_context.now();
-    m_endpoint->noteLimitNews(answer.report, now);
+    m_endpoint->notePeerLimit(answer.report, now);
     LogEvent("endpoint.permit", answer.isGranted ? LogImportance::Routine : LogImportance::Notable)
         .text("endpoint", m_endpoint->entry().id)
         .flag("granted", answer.isGranted)
@@ -62,7 +62,7 @@
 {
     const auto perSecond = m_endpoint->limit().perSecond();
     const bool hasLimitFallen = perSecond && (!m_grantedPerSecond || *perSecond < *m_grantedPerSecond);
-    const bool mayTakeWork = m_endpoint->mayTakeWork(m_context.now(), m_context.settings.leavingEndpointGrace);
+    const bool mayTakeWork = m_endpoint->mayTakeWork(m_context.now(), m_context.settings.removedEndpointGrace);
     finish(!hasLimitFallen && mayTakeWork);
 }
 
--- a/src/relay/Placement.cpp
+++ b/src/relay/Placement.cpp
@@ -26,18 +26,18 @@
 constexpr double failingZoneCost = 1000;
 constexpr double avoidedCost = 3000;
 constexpr double zoneToAvoidCost = 10000;
-constexpr double leavingCost = 100000;
+constexpr double shutdownCost = 100000;
 
 // True unless the endpoint's rate limit excludes it.
-bool isAllowedByLimit(const RelayEndpoint& endpoint, LimitedEndpoints wanted, Milliseconds now)
+bool isAllowedByLimit(const RelayEndpoint& endpoint, LimitedEndpoints treatment, Milliseconds now)
 {
-    return !endpoint.isLimited() || (wanted == LimitedEndpoints::Admitted && now >= endpoint.noPermitUntil());
+    return !endpoint.isLimited() || (treatment == LimitedEndpoints::Admitted && now >= endpoint.noPermitUntil());
 }
 
 // True while the endpoint is probably overloaded and should get less work.
 bool isOverloaded(const RelayEndpoint& endpoint, Milliseconds now)
 {
-    return endpoint.isLimited() && now - endpoint.limit().heardAt() < limitTrustedFor;
+    return endpoint.isLimited() && now - endpoint.limit().statedAt() < limitTrustedFor;
 }
 
 } // namespace
@@ -78,15 +78,16 @@
 }
 
 // Removes the candidates that their limit excludes, and adds a surcharge to those that should get less work.
-void Placement::applyLimits(std::vector<Candidate>& found, LimitedEndpoints wanted, Milliseconds now)
+void Placement::applyLimits(std::vector<Candidate>& found, LimitedEndpoints treatment, Milliseconds now)
 {
-    if (wanted == LimitedEndpoints::Unrestricted)
+    if (treatment == LimitedEndpoints::Unrestricted)
         return;
     const auto isFree = [](const Candidate& candidate) { return !candidate.endpoint->isLimited(); };
     const auto freeCount = std::count_if(found.begin(), found.end(), isFree);
     const auto extra = limitedCost * static_cast<double>(freeCount) / static_cast<double>(found.size());
-    std::erase_if(found,
-        [wanted, now](const Candidate& candidate) { return !isAllowedByLimit(*candidate.endpoint, wanted, now); });
+    std::erase_if(found, [treatment, now](const Candidate& candidate) {
+        return !isAllowedByLimit(*candidate.endpoint, treatment, now);
+    });
     for (auto& candidate : found) {
         if (isOverloaded(*candidate.endpoint, now))
             candidate.cost += extra;
@@ -112,14 +113,14 @@
 
 bool Placement::isEligible(const RelayEndpoint& endpoint, const PlacementRequest& request, Milliseconds now) const
 {
-    return endpoint.mayTakeWork(now, m_settings.leavingEndpointGrace) && isCandidate(endpoint, request);
+    return endpoint.mayTakeWork(now, m_settings.removedEndpointGrace) && isCandidate(endpoint, request);
 }
 
 std::optional<EndpointAvailability> Placement::nextAvailability(const PlacementRequest& request, Milliseconds now) const
 {
     std::optional<EndpointAvailability> next;
     for (const auto& endpoint : m_directory.endpointsOf(request.service)) {
-        if (endpoint->isLeaving() || !isCandidate(*endpoint, request))
+        if (endpoint->isShuttingDown() || !isCandidate(*endpoint, request))
             continue;
         const bool isInBackOff = endpoint->isInBackOff(now);
         // An endpoint that is only full or unreachable may accept a request sooner.
@@ -140,7 +141,7 @@
     const auto unit = static_cast<double>(prefillTime(work, pace).count());
     for (const auto& engine : engines) {
         // The engine may have started to shut down while it was probed.
-        if (!engine->mayTakeWork(now, m_settings.leavingEndpointGrace))
+        if (!engine->mayTakeWork(now, m_settings.removedEndpointGrace))
             continue;
         auto delay = static_cast<double>(forecastDelay(work, *engine, pace).count()) + randomPrefills * unit * random();
         if (engine->entry().availabilityZone != m_settings.availabilityZone)
@@ -162,8 +163,8 @@
     const auto seed = XXH64(request.promptId.data(), request.promptId.size(), 0);
     for (const auto& endpoint : m_directory.endpointsOf(request.service)) {
         const auto& entry = endpoint->entry();
-        if (entry.availabilityZone != m_settings.availabilityZone || endpoint->isLeaving() || endpoint->isAvoided(now)
-            || endpoint->isInBackOff(now) || !request.version.admits(entry.version))
+        if (entry.availabilityZone != m_settings.availabilityZone || endpoint->isShuttingDown()
+            || endpoint->isAvoided(now) || endpoint->isInBackOff(now) || !request.version.admits(entry.version))
             continue;
         const auto score = XXH64(entry.id.data(), entry.id.size(), seed);
         if (!best || score > highest) {
@@ -187,8 +188,8 @@
     const auto& toAvoid = request.zonesToAvoid;
     if (std::find(toAvoid.begin(), toAvoid.end(), zone) != toAvoid.end())
         sum += zoneToAvoidCost;
-    if (endpoint.isLeaving())
-        sum += leavingCost;
+    if (endpoint.isShuttingDown())
+        sum += shutdownCost;
     return sum;
 }
 
--- a/src/relay/RelayEndpoint.cpp
+++ b/src/relay/RelayEndpoint.cpp
@@ -24,7 +24,7 @@
     : m_ioContext(ioContext)
     , m_entry(std::move(entry))
     , m_connectionSettings(settings)
-    , m_lastLife(now)
+    , m_lastAliveAt(now)
 {
 }
 
@@ -52,7 +52,7 @@
 
 void RelayEndpoint::giveBack(const std::shared_ptr<ClientConnection>& connection, Milliseconds now)
 {
-    if (connection->isIdle() && !isLeaving())
+    if (connection->isIdle() && !isShuttingDown())
         m_kept.push_back({ connection, now });
     else
         connection->close();
@@ -61,27 +61,27 @@
 void RelayEndpoint::updateEntry(EndpointEntry entry, Milliseconds now)
 {
     m_entry = std::move(entry);
-    m_entry.isDraining = m_entry.isDraining || m_signals.isLeaving();
+    m_entry.isDraining = m_entry.isDraining || m_signals.isShuttingDown();
     if (m_entry.isDraining)
-        m_signals.noteLeaving();
+        m_signals.noteShuttingDown();
     m_isRemoved = false;
     if (m_entry.isDraining)
-        m_leavingSince = m_leavingSince.value_or(now);
+        m_shuttingDownSince = m_shuttingDownSince.value_or(now);
     else
-        m_leavingSince.reset();
+        m_shuttingDownSince.reset();
 }
 
 void RelayEndpoint::setRemoved(Milliseconds now)
 {
     m_isRemoved = true;
-    m_leavingSince = m_leavingSince.value_or(now);
+    m_shuttingDownSince = m_shuttingDownSince.value_or(now);
 }
 
 void RelayEndpoint::setDraining(Milliseconds now)
 {
-    m_signals.noteLeaving();
+    m_signals.noteShuttingDown();
     m_entry.isDraining = true;
-    m_leavingSince = m_leavingSince.value_or(now);
+    m_shuttingDownSince = m_shuttingDownSince.value_or(now);
     closeKeptConnections();
 }
 
@@ -89,28 +89,28 @@
 {
     if (!m_signals.accepts(now))
         return false;
-    return !m_leavingSince || now - *m_leavingSince <= grace;
+    return !m_shuttingDownSince || now - *m_shuttingDownSince <= grace;
 }
 
 bool RelayEndpoint::isExpired(Milliseconds now, Milliseconds grace) const
 {
-    return m_isRemoved && (m_entry.isDraining || now - m_leavingSince.value_or(now) > grace);
+    return m_isRemoved && (m_entry.isDraining || now - m_shuttingDownSince.value_or(now) > grace);
 }
 
 void RelayEndpoint::noteSignals(const AnswerFields& fields, Milliseconds now)
 {
-    const auto& rest = fields.rest;
-    if (!rest.unreadable.empty() && !std::exchange(m_hasLoggedUnreadableRest, true))
-        LogEvent("endpoint.rest-unreadable").text("endpoint", m_entry.id).text("value", rest.unreadable).write();
-    const bool wasResting = m_signals.isInBackOff(now);
-    if (rest.time && m_signals.noteBackOff(*rest.time, now))
-        LogEvent("endpoint.rests", wasResting ? LogImportance::Routine : LogImportance::Notable)
+    const auto& backOff = fields.backOff;
+    if (!backOff.unreadable.empty() && !std::exchange(m_hasLoggedUnreadableBackOff, true))
+        LogEvent("endpoint.rest-unreadable").text("endpoint", m_entry.id).text("value", backOff.unreadable).write();
+    const bool wasInBackOff = m_signals.isInBackOff(now);
+    if (backOff.time && m_signals.noteBackOff(*backOff.time, now))
+        LogEvent("endpoint.rests", wasInBackOff ? LogImportance::Routine : LogImportance::Notable)
             .text("endpoint", m_entry.id)
             .text("service", m_entry.service)
-            .number("for_ms", rest.time->count())
-            .flag("was_resting", wasResting)
+            .number("for_ms", backOff.time->count())
+            .flag("was_resting", wasInBackOff)
             .write();
-    if (!fields.isLeaving || m_signals.isLeaving())
+    if (!fields.isShuttingDown || m_signals.isShuttingDown())
         return;
     LogEvent("endpoint.leaves").text("endpoint", m_entry.id).text("service", m_entry.service).write();
     setDraining(now);
@@ -119,7 +119,7 @@
 void RelayEndpoint::restoreSignals(const EndpointSignals& earlier, Milliseconds now)
 {
     m_signals.merge(earlier);
-    if (m_signals.isLeaving())
+    if (m_signals.isShuttingDown())
         setDraining(now);
 }
 
@@ -145,12 +145,12 @@
     return change != LimitChange::None;
 }
 
-void RelayEndpoint::noteLimitNews(const LimitReport& report, Milliseconds now)
+void RelayEndpoint::notePeerLimit(const LimitReport& report, Milliseconds now)
 {
     logLimitChange(m_limit.notePeerReport(report.perSecond, now - report.age), "vm");
 }
 
-void RelayEndpoint::logLimitChange(LimitChange change, std::string_view heardFrom) const
+void RelayEndpoint::logLimitChange(LimitChange change, std::string_view source) const
 {
     if (change == LimitChange::None || change == LimitChange::Confirmed)
         return;
@@ -160,13 +160,13 @@
         .text("service", m_entry.service)
         .text("change", nameIn(limitChangeNames, change))
         .text("per_second", perSecond ? decimalText(*perSecond) : "")
-        .text("heard_from", heardFrom)
+        .text("heard_from", source)
         .write();
 }
 
 void RelayEndpoint::noteAlive(Milliseconds now)
 {
-    m_lastLife = now;
+    m_lastAliveAt = now;
     m_avoidUntil = std::min(m_avoidUntil, now);
 }
 
--- a/src/relay/RelayEndpoint.h
+++ b/src/relay/RelayEndpoint.h
@@ -61,15 +61,15 @@
     // true if the change should be reported to other VMs.
     bool noteLimit(const StatedLimit&, Milliseconds sentAt, Milliseconds now);
     // Applies what another VM reports of the rate limit.
-    void noteLimitNews(const LimitReport&, Milliseconds now);
-    LimitReport limitNews(Milliseconds now) const { return { m_limit.perSecond(), now - m_limit.heardAt() }; }
+    void notePeerLimit(const LimitReport&, Milliseconds now);
+    LimitReport limitReport(Milliseconds now) const { return { m_limit.perSecond(), now - m_limit.statedAt() }; }
     bool isLimited() const { return m_limit.perSecond().has_value(); }
     // While the endpoint is rate-limited, no permit is available for it before this time.
     void denyPermitsUntil(Milliseconds instant) { m_noPermitUntil = instant; }
     Milliseconds noPermitUntil() const { return isLimited() ? m_noPermitUntil : Milliseconds { 0 }; }
 
     // True if its entry or an answer states that it is shutting down, or if its entry was removed.
-    bool isLeaving() const { return m_leavingSince.has_value(); }
+    bool isShuttingDown() const { return m_shuttingDownSince.has_value(); }
     // False for an endpoint that announced its shutdown or is in back-off. An endpoint whose entry was removed may take
     // work as a last resort, for the grace time only.
     bool mayTakeWork(Milliseconds now, Milliseconds grace) const;
@@ -85,7 +85,7 @@
     // An answer or event has arrived: the endpoint is alive.
     void noteAlive(Milliseconds now);
     // When the endpoint was last known to be alive: when it was first listed, or later.
-    Milliseconds lastAliveAt() const { return m_lastLife; }
+    Milliseconds lastAliveAt() const { return m_lastAliveAt; }
 
 private:
     struct KeptConnection {
@@ -93,7 +93,7 @@
         Milliseconds since;
     };
 
-    void logLimitChange(LimitChange, std::string_view heardFrom) const;
+    void logLimitChange(LimitChange, std::string_view source) const;
 
     struct TimedReport {
         EngineReport report;
@@ -112,11 +112,11 @@
     Milliseconds m_noPermitUntil { 0 };
     // Unreadable values are logged only once each.
     bool m_hasLoggedUnreadableLimit { false };
-    bool m_hasLoggedUnreadableRest { false };
-    std::optional<Milliseconds> m_leavingSince;
+    bool m_hasLoggedUnreadableBackOff { false };
+    std::optional<Milliseconds> m_shuttingDownSince;
     bool m_isRemoved { false };
     Milliseconds m_avoidUntil { 0 };
-    Milliseconds m_lastLife;
+    Milliseconds m_lastAliveAt;
 };
 
 } // namespace lupinknot::internal
--- a/src/relay/RelayHandler.cpp
+++ b/src/relay/RelayHandler.cpp
@@ -143,10 +143,10 @@
         .number("status", traits.status)
         .number("config_version", static_cast<std::int64_t>(request.configurationVersion))
         .write();
-    std::optional<Milliseconds> comeBackIn;
+    std::optional<Milliseconds> retryDelay;
     if (reason == RefusalReason::HeldInQuarantine)
-        comeBackIn = m_context.crashGuard.quarantineTimeLeft(request.digest);
-    request.exchange->respond(refusal(m_context, reason, comeBackIn));
+        retryDelay = m_context.crashGuard.quarantineTimeLeft(request.digest);
+    request.exchange->respond(refusal(m_context, reason, retryDelay));
 }
 
 } // namespace lupinknot::internal
--- a/src/relay/RelayRefusal.cpp
+++ b/src/relay/RelayRefusal.cpp
@@ -38,13 +38,13 @@
 
 const RefusalTraits& traitsOf(RefusalReason reason) { return refusalTable[static_cast<std::size_t>(reason)]; }
 
-HttpResponse refusal(const RelayContext& context, RefusalReason reason, std::optional<Milliseconds> comeBackIn)
+HttpResponse refusal(const RelayContext& context, RefusalReason reason, std::optional<Milliseconds> retryDelay)
 {
     const auto& traits = traitsOf(reason);
     auto response = errorResponse({ traits.status, std::string(traits.name), std::string(traits.message), "",
         traits.isNotRun ? RunOutcome::NotRun : RunOutcome::Unknown, std::nullopt });
     if (traits.status == 503) {
-        const auto field = context.protocol.encodeRetryAfter(comeBackIn.value_or(context.settings.retryAfter));
+        const auto field = context.protocol.encodeRetryAfter(retryDelay.value_or(context.settings.retryAfter));
         response.headers.add(field.name, field.value);
     }
     return response;
--- a/src/relay/RelayRefusal.h
+++ b/src/relay/RelayRefusal.h
@@ -25,6 +25,6 @@
 
 // Creates the response for a reason. With status 503 it contains the time after which to retry: the given one, or the
 // default from the settings.
-HttpResponse refusal(const RelayContext&, RefusalReason, std::optional<Milliseconds> comeBackIn = std::nullopt);
+HttpResponse refusal(const RelayContext&, RefusalReason, std::optional<Milliseconds> retryDelay = std::nullopt);
 
 } // namespace lupinknot::internal
--- a/src/relay/RelaySettings.h
+++ b/src/relay/RelaySettings.h
@@ -35,7 +35,7 @@
     // Share of the budget that VMs use; the rest makes up for VMs that count at different times and for rounding up.
     double retryShare { 0.87 };
     // Share of this VM's part that may be used for proactive retries, and for calls that a full service rejects.
-    double precautionShare { 0.6 };
+    double proactiveShare { 0.6 };
 
     // Requests that all VMs together may send to a version whose rollout is undecided. Set by the deployment.
     ExposureLimit exposureLimit {};
@@ -59,7 +59,7 @@
     // 30 ms, or every 150 ms while the engine prefills another prompt.
     Milliseconds probeAfterSilence { 170 };
     // The same when another engine of the availability zone has just failed.
-    Milliseconds probeAfterSilenceInDoubt { 90 };
+    Milliseconds probeAfterSilenceWhenSuspected { 90 };
     // Timeout of a probe; within a zone the engine answers after about 3 ms.
     Milliseconds probeTimeout { 70 };
     // Interval between probes while a stream stays silent and its engine is alive.
@@ -68,7 +68,7 @@
     double moveAfterPauseShare { 0.75 };
     // How much longer than the usual prefill time of its prompt a stream waits for its first event before its engine is
     // probed.
-    Milliseconds prefillPatience { 300 };
+    Milliseconds prefillMargin { 300 };
     // Timeout for an engine to copy the KV cache of a run to another engine. Copying 1.6 GB takes 50 ms within a zone
     // and 100 ms between zones, queued behind other copies.
     Milliseconds relocationCopyTimeout { 1500 };
@@ -118,7 +118,7 @@
     // How long an endpoint whose entry has disappeared may serve as a last resort: entries also expire while the list's
     // source is unavailable. The adapter sets it from the time that the deployment allows and the maximum age of the
     // list's data.
-    Milliseconds leavingEndpointGrace { 700 };
+    Milliseconds removedEndpointGrace { 700 };
     // How long endpoints stay that are missing in the list after its source was restored from an older copy: endpoints
     // that were added after the copy write their entries again, and the update takes time to arrive. The adapter sets
     // this and the next one from the interval at which endpoints write their entries.
--- a/src/relay/RequestRollout.cpp
+++ b/src/relay/RequestRollout.cpp
@@ -28,7 +28,7 @@
 {
     const auto& runners = m_context.directory.endpointsOf(m_request.service);
     return std::any_of(runners.begin(), runners.end(),
-        [&choice](const auto& runner) { return !runner->isLeaving() && choice.admits(runner->entry().version); });
+        [&choice](const auto& runner) { return !runner->isShuttingDown() && choice.admits(runner->entry().version); });
 }
 
 VersionChoice RequestRollout::next()
--- a/src/relay/RequestRollout.h
+++ b/src/relay/RequestRollout.h
@@ -2,7 +2,7 @@
 // request may be sent, and reports the quality of their answers.
 //
 //     RequestRollout rollout(context, request);
-//     placementRequest.version = rollout.next();   // The same choice until the request has been sent.
+//     conditions.version = rollout.next();         // The same choice until the request has been sent.
 //     rollout.noteSent();
 //     rollout.noteAnswer(*endpoint, AnswerQuality::Bad);
 //
--- a/src/relay/RetryBudget.cpp
+++ b/src/relay/RetryBudget.cpp
@@ -30,7 +30,7 @@
 bool RetryBudget::take(RetryPurpose purpose, Milliseconds requestedAt, Milliseconds now)
 {
     forgetOld(now);
-    const auto limit = part(requestedAt, now) * (purpose == RetryPurpose::Failover ? 1 : m_settings.precautionShare);
+    const auto limit = part(requestedAt, now) * (purpose == RetryPurpose::Failover ? 1 : m_settings.proactiveShare);
     if (static_cast<double>(m_retries.size()) + 1 > limit + m_rounding)
         return false;
     m_retries.push_back(now);
--- a/src/relay/RunLivenessMonitor.cpp
+++ b/src/relay/RunLivenessMonitor.cpp
@@ -53,7 +53,7 @@
 
 void RunLivenessMonitor::scheduleCheck()
 {
-    m_timer.expires_after(m_context.settings.probeAfterSilenceInDoubt);
+    m_timer.expires_after(m_context.settings.probeAfterSilenceWhenSuspected);
     m_timer.async_wait([weak = weak_from_this()](boost::system::error_code error) {
         const auto self = weak.lock();
         if (!error && self && self->m_run)
@@ -85,10 +85,10 @@
     const auto& settings = m_context.settings;
     const auto& pace = m_context.pace(m_request.service);
     if (m_context.directory.isZoneAvoided(m_run->endpoint->entry().availabilityZone, now))
-        return settings.probeAfterSilenceInDoubt;
+        return settings.probeAfterSilenceWhenSuspected;
     if (m_run->hasEvent || m_run->isFromCopy)
         return pace.silenceBeforeProbe(settings.probeAfterSilence);
-    return settings.prefillPatience + pace.silenceBeforeFirstEvent(m_request.fields.promptTokens);
+    return settings.prefillMargin + pace.silenceBeforeFirstEvent(m_request.fields.promptTokens);
 }
 
 void RunLivenessMonitor::sendProbe()
--- a/src/relay/RunMover.cpp
+++ b/src/relay/RunMover.cpp
@@ -49,7 +49,7 @@
     if (!holder)
         return now - run.startedAt >= m_context.settings.relocateAfter;
     // The engines of a zone fail together, and the endpoint list shows it only seconds later.
-    return holder->isLeaving()
+    return holder->isShuttingDown()
         || m_context.directory.hasZoneFailedSince(holder->entry().availabilityZone, run.startedAt);
 }
 
--- a/src/relay/StreamLog.cpp
+++ b/src/relay/StreamLog.cpp
@@ -47,8 +47,8 @@
         .text("endpoint", run.endpoint->entry().id)
         .flag("from_copy", run.isFromCopy)
         .number("status", run.head.status)
-        .number("retry_after_ms", run.fields.rest.time.value_or(Milliseconds { -1 }).count())
-        .flag("leaving", run.fields.isLeaving)
+        .number("retry_after_ms", run.fields.backOff.time.value_or(Milliseconds { -1 }).count())
+        .flag("leaving", run.fields.isShuttingDown)
         .write();
 }
 
@@ -65,7 +65,7 @@
         .number("last_event", static_cast<std::int64_t>(answer.lastEventId()))
         .number("silent_ms", (now - run.lastActivity).count())
         .number("run_ms", (now - run.startedAt).count())
-        .number("begun_ms", run.headReceivedAt ? (now - *run.headReceivedAt).count() : -1)
+        .number("begun_ms", run.headerReceivedAt ? (now - *run.headerReceivedAt).count() : -1)
         .write();
 }
 
--- a/src/relay/StreamRun.h
+++ b/src/relay/StreamRun.h
@@ -30,7 +30,7 @@
     std::unique_ptr<PrefillScope> reading;
     Milliseconds startedAt { 0 };
     // When the response header arrived, which shows that the engine has started the run; nothing before that.
-    std::optional<Milliseconds> headReceivedAt;
+    std::optional<Milliseconds> headerReceivedAt;
     std::optional<Milliseconds> firstEventAt;
     // Time of the last event, or of sending the request if there was none.
     Milliseconds lastActivity { 0 };
--- a/src/relay/StreamTiming.cpp
+++ b/src/relay/StreamTiming.cpp
@@ -34,11 +34,11 @@
 bool StreamTiming::lacksTimeToFinish(std::uint64_t lastEventId, bool isPromptKept) const
 {
     const auto& pace = m_context.pace(m_request.service);
-    const auto reading
+    const auto prefillTime
         = isPromptKept ? 0.0 : pace.prefillTimePerToken.quantile(fastestQuantile) * m_request.fields.promptTokens;
     const auto minEvents = pace.answerShare.quantile(fastestQuantile) * static_cast<double>(maxEvents());
     const auto missing = std::max(minEvents - static_cast<double>(lastEventId), 0.0);
-    const auto needed = reading + missing * pace.eventInterval.quantile(fastestQuantile);
+    const auto needed = prefillTime + missing * pace.eventInterval.quantile(fastestQuantile);
     const auto left = m_request.deadline - m_context.now();
     if (needed <= static_cast<double>(left.count()))
         return false;
@@ -56,18 +56,18 @@
 
 void StreamTiming::recordFirstEvent(const StreamRun& run, Milliseconds now)
 {
-    const auto lead = std::max(now - run.headReceivedAt.value_or(now), Milliseconds { 1 });
+    const auto lead = std::max(now - run.headerReceivedAt.value_or(now), Milliseconds { 1 });
     m_context.pace(m_request.service).headerLead.add(static_cast<double>(lead.count()), now);
 }
 
 UnfinishedRun StreamTiming::describeUnfinishedRun(const StreamRun& run, FailureKind kind, Milliseconds now)
 {
     auto& pace = m_context.pace(m_request.service);
-    pace.headersShowStart = pace.headersShowStart || (run.headReceivedAt && !run.hasEvent);
-    const auto withoutHead = pace.headersShowStart ? RunStart::NotYet : RunStart::Hidden;
-    const auto withHead = pace.sendsHeadersEarly() ? RunStart::Hidden : RunStart::Begun;
-    const auto withoutEvent = run.headReceivedAt ? withHead : withoutHead;
-    const auto since = run.firstEventAt.value_or(run.headReceivedAt.value_or(run.startedAt));
+    pace.headersShowStart = pace.headersShowStart || (run.headerReceivedAt && !run.hasEvent);
+    const auto withoutHeader = pace.headersShowStart ? RunStart::NotYet : RunStart::Hidden;
+    const auto withHeader = pace.sendsHeadersEarly() ? RunStart::Hidden : RunStart::Begun;
+    const auto withoutEvent = run.headerReceivedAt ? withHeader : withoutHeader;
+    const auto since = run.firstEventAt.value_or(run.headerReceivedAt.value_or(run.startedAt));
     // A broken connection shows that the engine was alive until then; silence does not.
     const auto lastSign = kind == FailureKind::Silent ? std::max(since, run.lastActivity) : now;
     return { kind, run.hasEvent ? RunStart::Producing : withoutEvent, lastSign - since };
--- a/src/rollout/RolloutOrder.h
+++ b/src/rollout/RolloutOrder.h
@@ -24,7 +24,7 @@
 
     HistoryPosition position() const { return { era, revision }; }
     // Compares the content only, not when it was written.
-    bool asksSameAs(const RolloutOrder& other) const
+    bool hasSameContentAs(const RolloutOrder& other) const
     {
         return service == other.service && candidate == other.candidate && duration == other.duration;
     }
--- a/test/EndpointDirectoryTest.cpp
+++ b/test/EndpointDirectoryTest.cpp
@@ -26,10 +26,10 @@
         return { id, "s", { "127.0.0.1", port }, zone, 4, false };
     }
 
-    void drain(EndpointEntry leaving)
+    void drain(EndpointEntry draining)
     {
-        leaving.isDraining = true;
-        directory->upsert(std::move(leaving), now);
+        draining.isDraining = true;
+        directory->upsert(std::move(draining), now);
     }
 
     std::string chosen(PlacementRequest request = {})
@@ -62,7 +62,7 @@
 {
     directory->replaceAll({ entry("e1", 1) }, now);
     directory->remove("e1", now);
-    now += settings.leavingEndpointGrace;
+    now += settings.removedEndpointGrace;
     STRCMP_EQUAL("e1", chosen().c_str());
     now += Milliseconds { 1 };
     STRCMP_EQUAL("none", chosen().c_str());
@@ -80,7 +80,7 @@
 {
     directory->replaceAll({ entry("e1", 1) }, now);
     directory->remove("e1", now);
-    now += settings.leavingEndpointGrace + Milliseconds { 1 };
+    now += settings.removedEndpointGrace + Milliseconds { 1 };
     STRCMP_EQUAL("none", chosen().c_str());
     directory->upsert(entry("e1", 1), now);
     STRCMP_EQUAL("e1", chosen().c_str());
@@ -91,7 +91,7 @@
     directory->replaceAll({ entry("e1", 1), entry("e2", 2) }, now);
     directory->replaceAll({ entry("e2", 2) }, now);
     STRCMP_EQUAL("e2", chosen().c_str());
-    now += settings.leavingEndpointGrace + Milliseconds { 1 };
+    now += settings.removedEndpointGrace + Milliseconds { 1 };
     directory->dropExpired(now);
     LONGS_EQUAL(1, directory->size());
 }
@@ -200,7 +200,7 @@
     directory->replaceAll({ entry("e1", 1) }, now);
     directory->change({ { entry("new", 2), false }, { { .id = "new" }, true } }, now);
     CHECK(directory->find("new")->isRemoved());
-    now += settings.leavingEndpointGrace + Milliseconds { 1 };
+    now += settings.removedEndpointGrace + Milliseconds { 1 };
     for (int i = 0; i < 20; ++i)
         STRCMP_EQUAL("e1", chosen().c_str());
 }
@@ -245,7 +245,7 @@
     first.isDraining = true;
     directory->upsert(first, now);
     CHECK(directory->find("e1") == present);
-    CHECK_FALSE(present->isLeaving());
+    CHECK_FALSE(present->isShuttingDown());
     LONGS_EQUAL(1, present->entry().address.port);
 }
 
--- a/test/EndpointRestTest.cpp
+++ b/test/EndpointRestTest.cpp
@@ -123,14 +123,14 @@
 
 TEST(EndpointRest, GetsNoCallAfterAnnouncingItsShutdown)
 {
-    auto& leaving = relay->addEndpoint("e1");
-    leaving.onRequest(answersWith("Server-Leaving: 1\r\n"));
+    auto& shuttingDown = relay->addEndpoint("e1");
+    shuttingDown.onRequest(answersWith("Server-Leaving: 1\r\n"));
     relay->addEndpoint("e2").onRequest(answerWhole);
     ready();
-    callUntilReached("/once/1", leaving);
-    leaving.forgetRequests();
+    callUntilReached("/once/1", shuttingDown);
+    shuttingDown.forgetRequests();
     callFor("/once/1", Milliseconds { 800 });
-    LONGS_EQUAL_TEXT(0, leaving.requests().size(), "requests to an endpoint that had announced its shutdown");
+    LONGS_EQUAL_TEXT(0, shuttingDown.requests().size(), "requests to an endpoint that had announced its shutdown");
 }
 
 TEST(EndpointRest, CallersAreRefusedAtOnceWithTheEarliestRetryTimeWhenAllEndpointsBackOff)
@@ -147,8 +147,8 @@
         CHECK(relay->runUntil([&] { return caller->isWhole || caller->isBroken; }));
         LONGS_EQUAL(503, caller->head.status);
         STRCMP_CONTAINS("endpoints-resting", caller->body.c_str());
-        const auto comeBackIn = std::stod(caller->header("Retry-After"));
-        CHECK_TEXT(comeBackIn > 2.5 && comeBackIn < 3.5, caller->header("Retry-After").c_str());
+        const auto retryDelay = std::stod(caller->header("Retry-After"));
+        CHECK_TEXT(retryDelay > 2.5 && retryDelay < 3.5, caller->header("Retry-After").c_str());
     }
     CHECK_TEXT(clock.now() - begin < Milliseconds { 700 }, "the calls were held although no endpoint could serve them");
     LONGS_EQUAL(1, first.requests().size());
@@ -221,7 +221,7 @@
     callAndWait("/once/1");
     const auto known = relay->daemon().directory().find("e1");
     CHECK_FALSE(known->isInBackOff(relay->daemon().clock().now()));
-    CHECK_FALSE(known->isLeaving());
+    CHECK_FALSE(known->isShuttingDown());
 }
 
 TEST(EndpointRest, GetsNoHedgedCall)
@@ -242,7 +242,7 @@
 
 TEST(EndpointRest, GetsNoProbes)
 {
-    relay->settings.probeAfterSilence = relay->settings.probeAfterSilenceInDoubt = Milliseconds { 10 };
+    relay->settings.probeAfterSilence = relay->settings.probeAfterSilenceWhenSuspected = Milliseconds { 10 };
     auto& engine = relay->addEndpoint("e1");
     // Its stream stops after the first event.
     engine.onRequest([](ScriptedConnection& connection, const std::string& request) {
@@ -254,7 +254,7 @@
     CHECK(relay->runUntil([&] { return !stream->body.empty(); }));
     const auto known = relay->daemon().directory().find("e1");
     const auto& clock = relay->daemon().clock();
-    known->noteSignals({ .rest = { Milliseconds { 5000 }, "" } }, clock.now());
+    known->noteSignals({ .backOff = { Milliseconds { 5000 }, "" } }, clock.now());
     engine.forgetRequests();
     const auto end = clock.now() + Milliseconds { 300 };
     relay->runUntil([&] { return clock.now() >= end; });
--- a/test/EndpointSignalsTest.cpp
+++ b/test/EndpointSignalsTest.cpp
@@ -37,8 +37,8 @@
 
 TEST(EndpointSignals, NeverAcceptsAfterShutdownNotice)
 {
-    CHECK(signals.noteLeaving());
-    CHECK_FALSE(signals.noteLeaving());
+    CHECK(signals.noteShuttingDown());
+    CHECK_FALSE(signals.noteShuttingDown());
     CHECK_FALSE(signals.accepts(now + Milliseconds { 1'000'000 }));
 }
 
@@ -46,7 +46,7 @@
 {
     EndpointSignals earlier;
     earlier.noteBackOff(Milliseconds { 500 }, now);
-    earlier.noteLeaving();
+    earlier.noteShuttingDown();
     signals.merge(earlier);
-    CHECK(signals.isLeaving() && signals.isInBackOff(now));
+    CHECK(signals.isShuttingDown() && signals.isInBackOff(now));
 }
--- a/test/EventStreamCallTest.cpp
+++ b/test/EventStreamCallTest.cpp
@@ -217,8 +217,8 @@
     await(caller);
     LONGS_EQUAL(503, caller->head.status);
     LONGS_EQUAL_TEXT(0, engine.requests().size(), "a refused request must not reach an engine");
-    const auto comeBackIn = std::stod(caller->header("Retry-After"));
-    CHECK_TEXT(comeBackIn > 0.25 && comeBackIn <= 1.0, "a retry with the same time left would fail as well");
+    const auto retryDelay = std::stod(caller->header("Retry-After"));
+    CHECK_TEXT(retryDelay > 0.25 && retryDelay <= 1.0, "a retry with the same time left would fail as well");
 }
 
 TEST(EventStreamCall, TimeCheckCountsOnlyTheEventsThatAReconnectingCallerLacks)
@@ -239,7 +239,7 @@
 TEST(EventStreamCall, MovesARunWhoseCopyWasLost)
 {
     relay->settings.minTimeLeftForRelocation = Milliseconds { 0 };
-    relay->settings.probeAfterSilenceInDoubt = Milliseconds { 5 };
+    relay->settings.probeAfterSilenceWhenSuspected = Milliseconds { 5 };
     relay->settings.retrySlackShare = 1;
     relay->settings.relocationSpread = Milliseconds { 1 };
     std::shared_ptr<ScriptedConnection> running;
@@ -278,7 +278,7 @@
 TEST(EventStreamCall, DoesNotTakeTheCloseOfAStoppedRunForTheEndOfTheAnswer)
 {
     relay->settings.minTimeLeftForRelocation = Milliseconds { 0 };
-    relay->settings.probeAfterSilenceInDoubt = Milliseconds { 5 };
+    relay->settings.probeAfterSilenceWhenSuspected = Milliseconds { 5 };
     relay->settings.retrySlackShare = 1;
     relay->settings.relocationSpread = Milliseconds { 1 };
     relay->settings.relocateAfter = Milliseconds { 1 };
--- a/test/LimitKeeperTest.cpp
+++ b/test/LimitKeeperTest.cpp
@@ -25,7 +25,7 @@
 }
 
 // The answer may have been produced before the endpoint was overloaded.
-TEST(KnownLimit, IgnoresAnswerToRequestSentBeforeLimitWasHeard)
+TEST(KnownLimit, IgnoresAnswerToRequestSentBeforeLimitWasStated)
 {
     limit.noteAnswer(1.0, Milliseconds { 1 }, Milliseconds { 10 });
     checkChange(LimitChange::None, limit.noteAnswer(std::nullopt, Milliseconds { 9 }, Milliseconds { 12 }));
@@ -51,9 +51,9 @@
         now += Milliseconds { 10000 };
     }
 
-    PermitAnswer ask(double perSecond, Milliseconds patience = Milliseconds { 0 })
+    PermitAnswer ask(double perSecond, Milliseconds permitTimeout = Milliseconds { 0 })
     {
-        return keeper.ask({ "e1", { perSecond, Milliseconds { 0 } }, patience }, LimitKeeper::primaryShare, now);
+        return keeper.ask({ "e1", { perSecond, Milliseconds { 0 } }, permitTimeout }, LimitKeeper::primaryShare, now);
     }
 
     // Requests permits at this interval for a minute and returns the maximum number granted within any four seconds.
--- a/test/PlacementTest.cpp
+++ b/test/PlacementTest.cpp
@@ -100,12 +100,12 @@
 
 TEST(Placement, ChoosesNoEngineThatStartedToDrainDuringTheProbe)
 {
-    const auto leaving = directory->find("a0");
-    leaving->noteReport({}, now);
-    auto entry = leaving->entry();
+    const auto shuttingDown = directory->find("a0");
+    shuttingDown->noteReport({}, now);
+    auto entry = shuttingDown->entry();
     entry.isDraining = true;
     directory->upsert(entry, now);
-    CHECK(!Placement(*directory, settings, 1).chooseReported({ leaving }, { 5000, 1000 }, {}, now));
+    CHECK(!Placement(*directory, settings, 1).chooseReported({ shuttingDown }, { 5000, 1000 }, {}, now));
 }
 
 TEST(Placement, NeverChoosesAnExcludedEndpoint)
--- a/test/PlatformCallProtocolTest.cpp
+++ b/test/PlatformCallProtocolTest.cpp
@@ -175,7 +175,7 @@
 TEST(PlatformCallProtocol, DecodesTheBackOffOfAnEndpoint)
 {
     const auto restOf = [this](const std::string& text) {
-        return protocol.decodeAnswer({ 503, { { "Retry-After", text } }, "" }).rest;
+        return protocol.decodeAnswer({ 503, { { "Retry-After", text } }, "" }).backOff;
     };
     LONGS_EQUAL(3000, restOf("3").time->count());
     LONGS_EQUAL(801, restOf("0.8001").time->count());
@@ -183,27 +183,27 @@
     LONGS_EQUAL(3'600'000, restOf("99999999999999999999").time->count());
     const HttpHeaders dated { { "Date", "Sun, 06 Nov 1994 08:49:37 GMT" },
         { "Retry-After", "Sun, 06 Nov 1994 08:49:41 GMT" } };
-    LONGS_EQUAL(4000, protocol.decodeAnswer({ 503, dated, "" }).rest.time->count());
+    LONGS_EQUAL(4000, protocol.decodeAnswer({ 503, dated, "" }).backOff.time->count());
     const HttpHeaders past { { "Date", "Sun, 06 Nov 1994 08:49:37 GMT" },
         { "Retry-After", "Sun, 06 Nov 1994 08:49:31 GMT" } };
-    LONGS_EQUAL(0, protocol.decodeAnswer({ 503, past, "" }).rest.time->count());
+    LONGS_EQUAL(0, protocol.decodeAnswer({ 503, past, "" }).backOff.time->count());
     const HttpHeaders twice { { "Retry-After", "1" }, { "retry-after", "2" } };
-    LONGS_EQUAL(2000, protocol.decodeAnswer({ 503, twice, "" }).rest.time->count());
+    LONGS_EQUAL(2000, protocol.decodeAnswer({ 503, twice, "" }).backOff.time->count());
     // In other responses Retry-After says when the caller may retry, or when a redirect may be followed.
-    CHECK(!protocol.decodeAnswer({ 200, { { "Retry-After", "3" } }, "" }).rest.time);
+    CHECK(!protocol.decodeAnswer({ 200, { { "Retry-After", "3" } }, "" }).backOff.time);
 }
 
 TEST(PlatformCallProtocol, IgnoresAnInvalidBackOff)
 {
     for (const auto* text : { "", "-1", "nan", "inf", "1e9", "1,5", "soon", "Sun, 06 Nov 1994 08:49:41 GMT" }) {
-        const auto rest = protocol.decodeAnswer({ 503, { { "Retry-After", text } }, "" }).rest;
-        CHECK_TEXT(!rest.time && !rest.unreadable.empty(), text);
+        const auto backOff = protocol.decodeAnswer({ 503, { { "Retry-After", text } }, "" }).backOff;
+        CHECK_TEXT(!backOff.time && !backOff.unreadable.empty(), text);
     }
 }
 
 TEST(PlatformCallProtocol, DecodesThatAnEndpointIsShuttingDown)
 {
-    CHECK(protocol.decodeAnswer({ 200, { { "Server-Leaving", "1" } }, "" }).isLeaving);
-    CHECK(!protocol.decodeAnswer({ 200, { { "Server-Leaving", "0" } }, "" }).isLeaving);
-    CHECK(!protocol.decodeAnswer({ 200, {}, "" }).isLeaving);
+    CHECK(protocol.decodeAnswer({ 200, { { "Server-Leaving", "1" } }, "" }).isShuttingDown);
+    CHECK(!protocol.decodeAnswer({ 200, { { "Server-Leaving", "0" } }, "" }).isShuttingDown);
+    CHECK(!protocol.decodeAnswer({ 200, {}, "" }).isShuttingDown);
 }
--- a/test/PlatformSettingsTest.cpp
+++ b/test/PlatformSettingsTest.cpp
@@ -44,7 +44,7 @@
     LONGS_EQUAL(5700, settings.relay.stopWithin.count());
     LONGS_EQUAL(2000, settings.feedWait.count());
     LONGS_EQUAL(700, settings.endpointsPause.count());
-    LONGS_EQUAL(600, settings.relay.leavingEndpointGrace.count());
+    LONGS_EQUAL(600, settings.relay.removedEndpointGrace.count());
 }
 
 // The worst case is the sum of the maximum accepted age of a reader's data, the wait at the reader, and a response that
@@ -58,7 +58,7 @@
     const auto& sharing = result.settings.sharing;
     const auto worst = sharing.maxReaderAge + sharing.maxWait + sharing.responseTime;
     CHECK_TEXT(worst <= Milliseconds { 1200 }, "data may be older than six tenths of the shorter bound, 2000 ms");
-    CHECK_TEXT(worst + result.settings.relay.leavingEndpointGrace < Milliseconds { 3000 },
+    CHECK_TEXT(worst + result.settings.relay.removedEndpointGrace < Milliseconds { 3000 },
         "an endpoint whose entry was removed may get requests after the 3000 ms that the deployment allows");
     CHECK_TEXT(sharing.readerTiming.pauseAfterChanges + sharing.readerTiming.maxWait < sharing.maxReaderAge,
         "the data of a reader that pauses after a change and then polls the store must be accepted");
--- a/test/PolicyTest.cpp
+++ b/test/PolicyTest.cpp
@@ -67,7 +67,7 @@
     LONGS_EQUAL(1, first.requests().size() + second.requests().size());
 }
 
-TEST(Policy, WithoutGrowingCopiesNoEngineIsToldToCopy)
+TEST(Policy, WithoutGrowingCopiesNoEngineIsRequestedToCopy)
 {
     relay->settings.policies.switchOff(Policy::GrowingCopies);
     relay->addRoute("stream", RequestKind::EventStream, 5);
--- a/test/RetryBudgetTest.cpp
+++ b/test/RetryBudgetTest.cpp
@@ -64,7 +64,7 @@
     LONGS_EQUAL(2, takeAll(budget));
 }
 
-TEST(RetryBudget, PrecautionsLeaveAPartForRescues)
+TEST(RetryBudget, ProactiveRetriesLeaveAPartForFailovers)
 {
     RetryBudget budget(settings);
     for (int i = 0; i < 16; ++i)
--- a/test/StoreHistoryTest.cpp
+++ b/test/StoreHistoryTest.cpp
@@ -289,7 +289,7 @@
     auto leaving = RestoredList::entry(2);
     leaving.isDraining = true;
     list.restore({ RestoredList::entry(1), leaving });
-    CHECK_FALSE(list.directory.find("e2")->mayTakeWork(list.now, list.settings.leavingEndpointGrace));
+    CHECK_FALSE(list.directory.find("e2")->mayTakeWork(list.now, list.settings.removedEndpointGrace));
 }
 
 TEST(StoreHistory, ADrainedEndpointGetsNoRequestsWhenItsRestoredEntryDoesNotExpire)
@@ -302,5 +302,5 @@
     list.restore({ RestoredList::entry(1), RestoredList::entry(2) });
     list.pass(list.settings.ignoreGoneEndpointsFor);
     const auto endpoint = list.directory.find("e2");
-    CHECK(endpoint && !endpoint->mayTakeWork(list.now, list.settings.leavingEndpointGrace));
+    CHECK(endpoint && !endpoint->mayTakeWork(list.now, list.settings.removedEndpointGrace));
 }
--- a/test/StoreInterleavingTest.cpp
+++ b/test/StoreInterleavingTest.cpp
@@ -106,7 +106,7 @@
             for (const auto& endpoint : m_endpoints) {
                 const auto known = vm.directory->find(endpoint.entry.id);
                 const bool isListed = known && !known->isRemoved();
-                const bool takesWork = known && known->mayTakeWork(m_now, m_settings.leavingEndpointGrace);
+                const bool takesWork = known && known->mayTakeWork(m_now, m_settings.removedEndpointGrace);
                 if (isListed != endpoint.isAlive)
                     return name + endpoint.entry.id
                         + (isListed ? " is listed although it has ended" : " is alive but not listed");
@@ -388,7 +388,7 @@
         for (auto& vm : m_vms) {
             for (const auto& id : vm.knownShuttingDown) {
                 const auto known = vm.directory->find(id);
-                if (known && known->mayTakeWork(m_now, m_settings.leavingEndpointGrace))
+                if (known && known->mayTakeWork(m_now, m_settings.removedEndpointGrace))
                     m_problem = id + " gets requests after its shutdown was announced";
             }
             checkRemovedStayRemoved(vm);
--- a/test/WaitForCapacityTest.cpp
+++ b/test/WaitForCapacityTest.cpp
@@ -163,15 +163,15 @@
 
 TEST(WaitingRequestLimit, EnforcesCountAndSizeBounds)
 {
-    WaitingRequestLimit room;
-    CHECK(room.enter(WaitingRequestLimit::maxBytes));
-    CHECK_FALSE_TEXT(room.enter(1), "request bodies must not use the memory that the VM needs");
-    room.leave(WaitingRequestLimit::maxBytes);
+    WaitingRequestLimit limit;
+    CHECK(limit.enter(WaitingRequestLimit::maxBytes));
+    CHECK_FALSE_TEXT(limit.enter(1), "request bodies must not use the memory that the VM needs");
+    limit.leave(WaitingRequestLimit::maxBytes);
     for (std::size_t i = 0; i < WaitingRequestLimit::maxRequests; ++i)
-        CHECK(room.enter(1));
-    CHECK_FALSE(room.enter(1));
-    room.leave(1);
-    CHECK(room.enter(1));
+        CHECK(limit.enter(1));
+    CHECK_FALSE(limit.enter(1));
+    limit.leave(1);
+    CHECK(limit.enter(1));
 }
 
 TEST(WaitForCapacity, WaitsForLimitedEndpointOnlyIfAvailableInTime)
