--- a/src/quarantine/CrashWeight.cpp
+++ b/src/quarantine/CrashWeight.cpp
@@ -27,14 +27,13 @@
 
 double crashWeight(const UnfinishedRun& run)
 {
-    if (!looksLikeCrash(run.failure) || run.wasLeaving)
+    if (!looksLikeCrash(run.failure) || run.wasShuttingDown)
         return 0;
     const bool hasJustBegun = run.workedFor <= maxAgeOfNewRun;
     switch (run.beginning) {
     case RunStart::NotYet:
         return 0;
-    // Reading a prompt takes longer than this: the engine had crashed before, behind a proxy that accepted the
-    // connection.
+    // Prefill takes longer than this: the engine had crashed before, behind a proxy that accepted the connection.
     case RunStart::Hidden:
         return run.workedFor < minWorkTime ? 0 : halfSuspicion;
     case RunStart::Producing:
--- a/src/relay/EndpointCall.cpp
+++ b/src/relay/EndpointCall.cpp
@@ -73,7 +73,7 @@
 {
     const auto fields = m_context.protocol.decodeAnswer(head);
     const auto now = m_context.now();
-    // Unsigned bytes and responses of another process at the address say nothing about this endpoint.
+    // Unsigned bytes and responses of another process at the address are no evidence about this endpoint.
     const bool isFromEndpoint = (fields.isSigned || fields.isNotRun) && !fields.isOtherIncarnation;
     if (isFromEndpoint)
         m_endpoint->noteSignals(fields, now);
@@ -87,9 +87,9 @@
         return;
     }
     if (isFromEndpoint && m_endpoint->noteLimit(fields.limit, m_startedAt, now))
-        m_context.permits->reportLimit(m_endpoint->entry().incarnationName(), m_endpoint->limitNews(now));
+        m_context.permits->reportLimit(m_endpoint->entry().incarnationName(), m_endpoint->limitReport(now));
     if (const auto listener = m_listener.lock())
-        listener->callHead(*this, head, fields);
+        listener->callHeader(*this, head, fields);
 }
 
 void EndpointCall::responseBodyReceived(std::string_view piece)
--- a/src/relay/EventStreamCall.h
+++ b/src/relay/EventStreamCall.h
@@ -2,8 +2,9 @@
 //
 // The events belong to the answer (Generation); a run is one attempt to produce them at one engine. When the engine of
 // the current run fails or stops sending, a new run resumes after the last complete event, and the caller keeps the
-// head of the first run. An engine that supports it copies the run's memory to a second engine in another availability
-// zone while the run goes on; the new run then starts there and processes only what the copy lacks.
+// response header of the first run. An engine that supports live copies copies the run's KV cache to a second engine in
+// another availability zone while the run continues; the new run then starts there and prefills only what the copy
+// lacks.
 //
 // A stream that must not run twice is not moved once an engine may have started it. Used on the relay's thread only.
 // Owned by its pending timers and the exchange's callback.
@@ -33,7 +34,7 @@
     static void serve(RelayContext&, RelayRequest);
     ~EventStreamCall() override;
 
-    void callHead(EndpointCall&, const HttpResponse&, const AnswerFields&) override;
+    void callHeader(EndpointCall&, const HttpResponse&, const AnswerFields&) override;
     void callBody(EndpointCall&, std::string_view) override;
     void callEnded(EndpointCall&) override;
     void callFailed(EndpointCall&, FailureKind) override;
@@ -77,14 +78,14 @@
 
     RelayContext& m_context;
     const RelayRequest m_request;
-    StreamTiming m_pace;
+    StreamTiming m_timing;
     RequestRollout m_rollout;
-    CrashTracker m_crashWatch;
+    CrashTracker m_crashTracker;
     const std::shared_ptr<EngineChoice> m_choice;
     const std::shared_ptr<StreamResponse> m_answer;
     std::shared_ptr<StreamRun> m_run;
     // Set by begin().
-    std::shared_ptr<RunLivenessMonitor> m_watch;
+    std::shared_ptr<RunLivenessMonitor> m_livenessMonitor;
     // Set while a permit request is pending.
     std::shared_ptr<PermitWait> m_permit;
     // Set by begin().
--- a/src/relay/RelayRefusal.h
+++ b/src/relay/RelayRefusal.h
@@ -11,12 +11,12 @@
 
 struct RelayContext;
 
-// What a caller is told for one reason.
+// The response to the caller for one reason.
 struct RefusalTraits {
     RefusalReason reason;
     std::string_view name;
     unsigned status;
-    // True when the request has not run and will not: the caller may retry, and is told when.
+    // True when the request has not run and will not: the caller may retry, and the response states when.
     bool isNotRun;
     std::string_view message;
 };
@@ -25,6 +25,6 @@
 
 // Creates the response for a reason. With status 503 it contains the time after which to retry: the given one, or the
 // default from the settings.
-HttpResponse refusal(const RelayContext&, RefusalReason, std::optional<Milliseconds> comeBackIn = std::nullopt);
+HttpResponse refusal(const RelayContext&, RefusalReason, std::optional<Milliseconds> retryDelay = std::nullopt);
 
 } // namespace lupinknot::internal
--- a/test/LimitKeeperTest.cpp
+++ b/test/LimitKeeperTest.cpp
@@ -25,7 +25,7 @@
 }
 
 // The answer may have been produced before the endpoint was overloaded.
-TEST(KnownLimit, IgnoresAnswerToRequestSentBeforeLimitWasHeard)
+TEST(KnownLimit, IgnoresAnswerToRequestSentBeforeLimitWasStated)
 {
     limit.noteAnswer(1.0, Milliseconds { 1 }, Milliseconds { 10 });
     checkChange(LimitChange::None, limit.noteAnswer(std::nullopt, Milliseconds { 9 }, Milliseconds { 12 }));
@@ -51,12 +51,12 @@
         now += Milliseconds { 10000 };
     }
 
-    PermitAnswer ask(double perSecond, Milliseconds patience = Milliseconds { 0 })
+    PermitAnswer ask(double perSecond, Milliseconds permitTimeout = Milliseconds { 0 })
     {
-        return keeper.ask({ "e1", { perSecond, Milliseconds { 0 } }, patience }, LimitKeeper::primaryShare, now);
+        return keeper.ask({ "e1", { perSecond, Milliseconds { 0 } }, permitTimeout }, LimitKeeper::primaryShare, now);
     }
 
-    // Asks at this interval for a minute and returns the maximum number granted within any four seconds.
+    // Requests permits at this interval for a minute and returns the maximum number granted within any four seconds.
     std::size_t maxGrantedInFourSeconds(double perSecond, Milliseconds interval)
     {
         std::vector<Milliseconds> granted;
@@ -127,7 +127,7 @@
     CHECK_FALSE(ask(1).isGranted);
     now += Milliseconds { 10 };
     keeper.reportLimit("e1", { std::nullopt, Milliseconds { 0 } }, now);
-    // A VM that has not heard of the end asks with the old limit.
+    // A VM that does not know of the end requests a permit with the old limit.
     const auto answer
         = keeper.ask({ "e1", { 1.0, Milliseconds { 500 } }, Milliseconds { 0 } }, LimitKeeper::primaryShare, now);
     CHECK(answer.isGranted);
