--- a/test/BufferedCallTest.cpp
+++ b/test/BufferedCallTest.cpp
@@ -1,5 +1,5 @@
-#include "RelayHarness.h"
 #include "relay/BufferedCall.h"
+#include "RelayHarness.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/test/EngineLoadProbeTest.cpp
+++ b/test/EngineLoadProbeTest.cpp
@@ -1,6 +1,6 @@
+#include "relay/EngineLoadProbe.h"
 #include "PlatformCallProtocol.h"
 #include "RelayHarness.h"
-#include "relay/EngineLoadProbe.h"
 #include "relay/Placement.h"
 #include "relay/RelayContext.h"
 #include "relay/RelayMetrics.h"
