--- a/src/relay/CrashGuard.h
+++ b/src/relay/CrashGuard.h
@@ -74,7 +74,7 @@
     // An endpoint has been producing events of the request for this long.
     void noteProducing(const std::string& digest, Milliseconds producedFor);
     // The request has been served, or has otherwise shown that endpoints survive it. Clears its losses; further ones do
-    // not count against it for ServedRequests::keptFor.
+    // not count against it for ServedRequests::entryLifetime.
     void noteHarmless(const std::string& digest);
 
     // A record that another VM has published, or has withdrawn.
